--- a/sprucenotch/api.py
+++ b/sprucenotch/api.py
@@ -183,11 +183,11 @@
     id: EndpointId
     started: int  # as the list had it: of another start nothing holds
     pace: float  # its latency over the mean of its classes
-    fails: float  # share of attempts that failed
-    heard: int  # how long ago it last answered; -1: never
-    streak: int  # failures in a row
+    failure_rate: float  # share of attempts that failed
+    last_answer_age: int  # how long ago it last answered; -1: never
+    consecutive_failures: int  # failures in a row
     ejections: int
-    out: int  # how long it is still to get nothing
+    ejected_for: int  # remaining time out of the subset
 
 
 class LearnedClass(Struct, frozen=True, array_like=True):
--- a/sprucenotch/policy/births.py
+++ b/sprucenotch/policy/births.py
@@ -1,56 +1,56 @@
-"""When servers started, by this process's clock.
+"""Server start times, converted to this process's clock.
 
-Discovery tells starts in Unix time, and this machine's wall clock may have been stepped, by an hour or more,
-before the process read it. Uncorrected, after a step forward a server that has just started would count as
-warm, and after a step back as one that starts in the future. The skew is taken from
+Discovery reports start times in Unix time, and this machine's wall clock may have been stepped by an hour or
+more before the process read it. Without a correction, a server that has just started would count as warm
+after a step forward, and as starting in the future after a step back. The skew is estimated from, in order:
 
-- the servers whose start came as a change of the list, as they started a moment before: where the least time
-  between a start and its news is as news take, there is no skew;
-- else discovery's clock, where its answers tell it;
-- else that least time, which is too long for news, or negative.
+- servers whose start was reported as a change of the list, shortly after it happened: if the smallest delay
+  between a start and its report is a plausible reporting delay, the skew is 0;
+- the Date of discovery's answers, if they have one;
+- that smallest delay, which is negative or too long for a reporting delay.
 
-Besides, no server started later than it was first seen. What remains: without discovery's clock, a server in
-the first list of a process whose clock is ahead counts as older than it is.
+In addition, a server counts as started no later than it was first listed. Remaining error: without
+discovery's clock, a server in the first list of a process whose clock is ahead counts as older than it is.
 """
 
 from __future__ import annotations
 
 from sprucenotch.policy.state import SECOND
 
-MAX_NEWS_DELAY = 30 * SECOND  # from a start to its news; discovery tells changes within seconds
-CLOCK_TOLERANCE = 2 * SECOND  # machines agree to this; discovery's clock is told in whole seconds
+MAX_CHANGE_DELAY = 30 * SECOND  # from a start to its report; discovery reports changes within seconds
+CLOCK_TOLERANCE = 2 * SECOND  # clocks of healthy machines agree to this; discovery's Date has whole seconds
 
 
-class Births:
-    """The skew of this process's clock, in nanoseconds; positive where it is ahead."""
+class SkewEstimate:
+    """Estimates the skew of this process's clock in nanoseconds; positive if it is ahead."""
 
     def __init__(self) -> None:
         self.skew = 0
-        self._told: int | None = None  # by discovery's clock
-        self._least_delay: int | None = None  # between a start and its news
+        self._discovery_skew: int | None = None  # skew by discovery's clock
+        self._min_delay: int | None = None  # smallest delay between a start and its report
 
-    def told(self, skew: int) -> bool:
-        """Take up what discovery's clock tells; whether the skew has changed."""
-        self._told = skew if abs(skew) > CLOCK_TOLERANCE else 0
-        return self._reckon()
+    def observe_discovery_clock(self, skew: int) -> bool:
+        """Record a skew measured by discovery's clock. Return whether the estimate changed."""
+        self._discovery_skew = skew if abs(skew) > CLOCK_TOLERANCE else 0
+        return self._update_skew()
 
-    def started(self, started: int, now: int) -> bool:
-        """A start came as a change of the list; whether the skew has changed."""
+    def observe_start(self, started: int, now: int) -> bool:
+        """Record a start that was reported as a change of the list. Return whether the estimate changed."""
         delay = now - started
-        if self._least_delay is None or delay < self._least_delay:
-            self._least_delay = delay
-        return self._reckon()
+        if self._min_delay is None or delay < self._min_delay:
+            self._min_delay = delay
+        return self._update_skew()
 
-    def _reckon(self) -> bool:
-        before, delay = self.skew, self._least_delay
-        if delay is not None and -CLOCK_TOLERANCE <= delay <= MAX_NEWS_DELAY:
+    def _update_skew(self) -> bool:
+        before, delay = self.skew, self._min_delay
+        if delay is not None and -CLOCK_TOLERANCE <= delay <= MAX_CHANGE_DELAY:
             self.skew = 0
-        elif self._told is not None:
-            self.skew = self._told
+        elif self._discovery_skew is not None:
+            self.skew = self._discovery_skew
         else:
             self.skew = delay or 0
         return self.skew != before
 
-    def warm_from(self, started: int, seen: int) -> int:
-        """From when a server of that start warms up, by this process's clock; 0: long warm."""
-        return min(started + self.skew, seen) if started else 0
+    def warm_from(self, started: int, first_seen: int) -> int:
+        """Return when the server's warm-up began, by this process's clock; 0 if the start time is unknown."""
+        return min(started + self.skew, first_seen) if started else 0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from sprucenotch import api
-from sprucenotch.policy.balance import CALL, Balancer
+from sprucenotch.policy.balance import DISCOVERY_TIMER, Balancer
 
 MS, SECOND = 1_000_000, 1_000_000_000
 START = 50 * SECOND
@@ -34,7 +34,7 @@
 
 def call_timers(actions: list[api.Action]) -> list[api.SetTimer]:
     """The timers of the next call to discovery among these actions."""
-    return [a for a in actions if isinstance(a, api.SetTimer) and a.token == CALL]
+    return [a for a in actions if isinstance(a, api.SetTimer) and a.token == DISCOVERY_TIMER]
 
 
 class Bench:
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -69,7 +69,7 @@
     b.list_of(endpoint(9, started=b.now - 20 * SECOND), kind=ListKind.DELTA)
     assert warmth(b, 9) == 1
     b.list_of(endpoint(9, started=b.now - 20 * SECOND, health=Health.DRAINING), kind=ListKind.DELTA)
-    assert b.balancer.engines.births.skew == 0
+    assert b.balancer.engines.skew_estimate.skew == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_call_schedule.py
+++ b/tests/test_call_schedule.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from sprucenotch import api
-from sprucenotch.policy.balance import CALL, Balancer
+from sprucenotch.policy.balance import DISCOVERY_TIMER, Balancer
 from sprucenotch.policy.discovery import CHANGE_DEADLINE, CallSchedule, call_budget, response_timeout
 from sprucenotch.policy.state import SECOND
 from tests.helpers import call_timers
@@ -108,12 +108,12 @@
     [first] = call_timers(balancer.handle(now, api.Attached()))
     assert first.delay <= 1 + call_budget(settings) // 4
     now += first.delay
-    assert balancer.handle(now, api.Timer(CALL)) == [api.Watch(True)]
+    assert balancer.handle(now, api.Timer(DISCOVERY_TIMER)) == [api.Watch(True)]
     [again] = call_timers(balancer.handle(now, api.EndpointList(api.ListKind.FAILED, ())))
-    assert balancer.handle(now + again.delay, api.Timer(CALL)) == [api.Watch(True)]
+    assert balancer.handle(now + again.delay, api.Timer(DISCOVERY_TIMER)) == [api.Watch(True)]
     now += 30 * SECOND
     assert balancer.handle(now, api.EndpointList(api.ListKind.DELTA, ())) == []
-    assert balancer.handle(now, api.Timer(CALL)) == []
+    assert balancer.handle(now, api.Timer(DISCOVERY_TIMER)) == []
     [soon] = call_timers(balancer.handle(now, api.EndpointList(api.ListKind.SILENT, ())))
     assert soon.delay <= SECOND // 10
     assert balancer.handle(now, api.DiscoveryMoved()) == [api.Watch(True)]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -9,27 +9,27 @@
 
 from sprucenotch import api
 from sprucenotch.policy import engines
-from sprucenotch.policy.balance import CALL
-from sprucenotch.policy.state import Pending
+from sprucenotch.policy.balance import DISCOVERY_TIMER
+from sprucenotch.policy.state import PendingRequest
 from tests.helpers import MS, SECOND, START, Bench, call_timers, endpoint, request_class, settings
 
 
 def test_idle_members_come_first() -> None:
     b = Bench(settings(), servers=20)
-    size = len({b.sent().endpoint for _ in range(engines.SUBSET_FREE)})
-    assert size == engines.SUBSET_FREE
+    size = len({b.sent().endpoint for _ in range(engines.MIN_SUBSET_FREE)})
+    assert size == engines.MIN_SUBSET_FREE
 
 
 def test_the_subset_is_small_and_grows_with_requests_in_flight() -> None:
     b = Bench(settings(connection_price=0.05), servers=40)
     for _ in range(50):
         b.answer(b.sent())
-    assert len(b.balancer.engines.subset[0]) == engines.SUBSET_LEAST
+    assert len(b.balancer.engines.subset[0]) == engines.MIN_SUBSET_PRICED
     for _ in range(12):
         b.sent()
     b.tick()
     b.sent()
-    assert len(b.balancer.engines.subset[0]) > engines.SUBSET_LEAST + 10
+    assert len(b.balancer.engines.subset[0]) > engines.MIN_SUBSET_PRICED + 10
 
 
 def test_the_subset_grows_once_for_all_zones() -> None:
@@ -93,7 +93,7 @@
     b = Bench(settings(), servers=8)
     b.balancer.kinds[0].mean = 100.0 * MS
     for member in b.balancer.engines.members.values():
-        member.heard, member.pace = b.now, 0.5 if member.id[0] <= 2 else 2.0
+        member.last_answer_at, member.pace = b.now, 0.5 if member.id[0] <= 2 else 2.0
     for _ in range(20):
         sends = [b.sent(), b.sent()]
         assert {send.endpoint[0] for send in sends} == {1, 2}
@@ -108,14 +108,14 @@
 
 def test_at_most_half_the_subset_is_ejected() -> None:
     """If nearly all look bad the trouble is shared: shed, but do not eject."""
-    b = Bench(settings(max_attempts=1), servers=engines.SUBSET_FREE)
+    b = Bench(settings(max_attempts=1), servers=engines.MIN_SUBSET_FREE)
     for _ in range(300):
         b.now += 5 * MS
         action = b.ask()
         if isinstance(action, api.Send):
             b.answer(action, api.Outcome.CONNECT_FAILED, 3 * MS)
     assert isinstance(b.ask(), api.Send)
-    assert len(b.balancer.engines.subset[0]) >= engines.SUBSET_FREE // 2
+    assert len(b.balancer.engines.subset[0]) >= engines.MIN_SUBSET_FREE // 2
 
 
 def sent_to(b: Bench, member: bytes) -> api.Send:
@@ -160,18 +160,20 @@
         b.now = max(b.now, dead.out_until) + 1
         b.tick(0)
         arrival = api.Request(0, 0, 0, 0, b.now + SECOND, 0, False)
-        request = Pending(arrival, b.balancer.kinds[0], 1, b.now)
-        request.sent = b.now
-        b.balancer.learn(dead, api.Completed(0, 0, dead.id, api.Outcome.RESET, 1, False, ()), request, b.now)
+        request = PendingRequest(arrival, b.balancer.kinds[0], 1, b.now)
+        request.sent_at = b.now
+        b.balancer.record_outcome(
+            dead, api.Completed(0, 0, dead.id, api.Outcome.RESET, 1, False, ()), request, b.now
+        )
     assert dead.ejections > 1100
-    assert b.now < dead.out_until <= b.now + int(1.25 * engines.EJECT_MOST * b.balancer.aim)
+    assert b.now < dead.out_until <= b.now + int(1.25 * engines.MAX_EJECTION_AIMS * b.balancer.aim)
 
 
 def test_requests_that_fail_together_count_as_one_failure() -> None:
     """One long request delays all behind it: that server is slow for a moment, not out of order."""
     b = Bench(settings(max_attempts=1), servers=4)
     members = b.balancer.engines.members.values()
-    for failed in range(engines.FAILS_TO_EJECT):
+    for failed in range(engines.FAILURES_TO_EJECT):
         assert not any(m.out_until for m in members), failed
         sends = [b.sent() for _ in range(40)]
         b.now += 500 * MS
@@ -273,9 +275,9 @@
     b = Bench(settings(), servers=1)
     member = next(iter(b.balancer.engines.members.values()))
     b.answer(b.sent(), api.Outcome.ERROR)
-    assert member.fails > 0
+    assert member.failure_rate > 0
     b.give(api.EndpointList(api.ListKind.DELTA, (endpoint(1, started=b.now),)))
-    assert member.fails == 0 and not member.heard
+    assert member.failure_rate == 0 and not member.last_answer_at
 
 
 def test_zones_local_first_and_crossing_only_for_enough_worth() -> None:
@@ -300,13 +302,13 @@
     pause = until_call(b.attached)
     for _ in range(40):
         b.now += pause
-        assert b.give(api.Timer(CALL)) == [api.Watch(True)]
+        assert b.give(api.Timer(DISCOVERY_TIMER)) == [api.Watch(True)]
         asked.append(b.now)
         pause = until_call(b.give(api.EndpointList(api.ListKind.FAILED, ())))
     gaps = [later - earlier for earlier, later in zip([START, *asked], asked, strict=False)]
     assert max(gaps) < 10 * SECOND
     b.give(api.EndpointList(api.ListKind.DELTA, ()))
-    assert b.give(api.Timer(CALL)) == []
+    assert b.give(api.Timer(DISCOVERY_TIMER)) == []
     assert not any(isinstance(a, api.Watch) for _ in range(60) for a in b.tick(0.25))
 
 
@@ -330,7 +332,7 @@
         b.ask()
     b.tick()
     b.balancer.engines.refill(b.now)
-    assert len(b.balancer.engines.subset[0]) == engines.SUBSET_LEAST
+    assert len(b.balancer.engines.subset[0]) == engines.MIN_SUBSET_PRICED
 
 
 def test_a_cold_majority_gets_no_more_than_its_warmth_of_a_fair_part() -> None:
@@ -428,12 +430,12 @@
 def test_traffic_crosses_by_the_difference_of_waits() -> None:
     """With one zone at ten requests a server and the other at one, half the fleet once choked."""
     b, _ = asking(cross_price=0.1)
-    b.balancer.evidence = [[6.0, 10.0, 10.0, 10.0], [0.0, 10.0, 10.0, 10.0]]
-    b.balancer.steer(b.now + SECOND)
+    b.balancer.zone_stats = [[6.0, 10.0, 10.0, 10.0], [0.0, 10.0, 10.0, 10.0]]
+    b.balancer.adjust_cut_and_crossing(b.now + SECOND)
     risen = b.balancer.crossing
     assert 0 < risen < 0.5
-    b.balancer.evidence = [[1.0, 10.0, 10.0, 10.0], [3.0, 10.0, 10.0, 10.0]]
-    b.balancer.steer(b.now + SECOND)
+    b.balancer.zone_stats = [[1.0, 10.0, 10.0, 10.0], [3.0, 10.0, 10.0, 10.0]]
+    b.balancer.adjust_cut_and_crossing(b.now + SECOND)
     assert b.balancer.crossing < risen
 
 
@@ -464,8 +466,8 @@
             send = b.sent(key=key)
             members.add(send.endpoint)
             b.answer(send)
-    assert all(len(members) <= engines.KEY_MEMBERS for members in met.values())
-    assert len(set.union(*met.values())) > engines.KEY_MEMBERS
+    assert all(len(members) <= engines.MEMBERS_PER_KEY for members in met.values())
+    assert len(set.union(*met.values())) > engines.MEMBERS_PER_KEY
 
 
 def test_a_started_stream_is_the_clients() -> None:
@@ -491,7 +493,7 @@
         send = b.sent()
         assert send.endpoint not in home
         b.answer(send, took=200 * MS)
-    b.now += int(2 * engines.EJECT_FIRST * b.balancer.aim)
+    b.now += int(2 * engines.MIN_EJECTION_AIMS * b.balancer.aim)
     b.tick(0.25)
     assert b.sent().endpoint in home  # their time out is over
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -147,4 +147,4 @@
     bench.sent()  # the subset is chosen
     engines = bench.balancer.engines
     monkeypatch.setattr(engines, "warmth", None)  # any use of it would be an error
-    assert engines.cold(True, bench.now) is None
+    assert engines.pick_cold(True, bench.now) is None
--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -6,7 +6,7 @@
 
 from sprucenotch import api
 from sprucenotch.policy import balance
-from sprucenotch.policy.admission import SHED_MOST, USER_LEVELS
+from sprucenotch.policy.admission import MAX_SHED_SHARE, USER_LEVELS
 from sprucenotch.policy.state import HOUR, mix
 from tests.helpers import MS, SECOND, Bench, endpoint, request_class, settings
 
@@ -51,7 +51,7 @@
 def test_rise_sheds_the_share_by_the_histogram_of_keys() -> None:
     b = bench()
     feed(b, 0, 400, key=1000)
-    b.balancer.admission.raise_by(0.25)
+    b.balancer.admission.raise_cut(0.25)
     refused = sum(isinstance(b.ask(0, key=1000 + i), api.Refuse) for i in range(400))
     assert 80 <= refused <= 120
 
@@ -60,7 +60,7 @@
     b = bench()
     feed(b, 0, 50)
     feed(b, 1, 50)
-    b.balancer.admission.raise_by(0.5)
+    b.balancer.admission.raise_cut(0.5)
     assert b.balancer.admission.cut == pytest.approx(USER_LEVELS, abs=1)
 
 
@@ -68,8 +68,8 @@
     b = bench()
     feed(b, 1, 50)
     for _ in range(50):
-        b.balancer.admission.raise_by(0.5)
-    assert b.balancer.admission.cut <= 2 * USER_LEVELS - (1 - SHED_MOST) * USER_LEVELS + 1
+        b.balancer.admission.raise_cut(0.5)
+    assert b.balancer.admission.cut <= 2 * USER_LEVELS - (1 - MAX_SHED_SHARE) * USER_LEVELS + 1
 
 
 def test_easing_is_a_share_of_arrivals_and_at_least_one_level() -> None:
@@ -77,9 +77,9 @@
     b = bench()
     feed(b, 0, 100)
     b.balancer.admission.cut = 120.0
-    b.balancer.admission.ease_by(0.1)
+    b.balancer.admission.lower_cut(0.1)
     assert b.balancer.admission.cut == pytest.approx(120 - 12.8)
-    b.balancer.admission.ease_by(0.0)
+    b.balancer.admission.lower_cut(0.0)
     assert b.balancer.admission.cut == pytest.approx(120 - 12.8 - 1)
 
 
@@ -182,8 +182,8 @@
     """All servers of the own zone have just restarted and are cold: what waits across is the overload."""
     b = bench(zones=2)
     b.balancer.admission.spread[0] = 100.0
-    b.balancer.evidence = [[0.0, 0.0, 0.0, 0.0], [20.0, 20.0, 20.0, 10.0]]
-    b.balancer.steer(b.now)
+    b.balancer.zone_stats = [[0.0, 0.0, 0.0, 0.0], [20.0, 20.0, 20.0, 10.0]]
+    b.balancer.adjust_cut_and_crossing(b.now)
     assert b.balancer.pressure > b.balancer.over and b.balancer.admission.cut > 0
 
 
@@ -214,19 +214,19 @@
             b.tick(0.25)
             if isinstance(send := b.ask(), api.Send):
                 b.answer(send, api.Outcome.TIMEOUT, took=500 * MS)
-        pressures.append(max(e[balance.WAITS] / e[balance.SEEN] for e in b.balancer.evidence))
+        pressures.append(max(e[balance.WAIT_SUM] / e[balance.WAIT_COUNT] for e in b.balancer.zone_stats))
     assert 0 < pressures[0] < pressures[1] / 2
 
 
 def test_answers_that_outrun_sends_do_not_raise_the_cut_again() -> None:
     """While queues drain, answers to old sends are late; each once raised the cut further."""
     b = bench()
-    b.balancer.evidence[0] = [20.0, 20.0, 10.0, 20.0]
+    b.balancer.zone_stats[0] = [20.0, 20.0, 10.0, 20.0]
     b.balancer.admission.spread[0] = 100.0
-    b.balancer.steer(b.now)
+    b.balancer.adjust_cut_and_crossing(b.now)
     assert b.balancer.admission.cut == 0
-    b.balancer.evidence[0] = [20.0, 20.0, 20.0, 10.0]
-    b.balancer.steer(b.now)
+    b.balancer.zone_stats[0] = [20.0, 20.0, 20.0, 10.0]
+    b.balancer.adjust_cut_and_crossing(b.now)
     assert b.balancer.admission.cut > 0
 
 
@@ -241,16 +241,16 @@
     assert tell.peer == 1 and len(tell.body) <= 256
     new.give(api.PeerMessage(0, tell.body))
     assert new.balancer.admission.cut == pytest.approx(old.balancer.admission.cut)
-    assert new.balancer.evidence[0][balance.SEEN] > 0
+    assert new.balancer.zone_stats[0][balance.WAIT_COUNT] > 0
 
 
 @pytest.mark.parametrize("body", [b"", b"x" * 5, b"\xff" * 256, bytes(range(200))])
 def test_peer_bytes_of_any_content_are_passed_over(body: bytes) -> None:
     b = bench(peers=True, instances=2)
     b.give(api.PeerMessage(1, body))
-    size = balance.HEAD.size + 2 * sum(map(len, b.balancer.pooled()))
+    size = balance.MESSAGE_HEADER.size + 2 * sum(map(len, b.balancer.pooled_rows()))
     b.give(api.PeerMessage(1, (body * 50)[:size].ljust(size, b"\xff")))
-    assert 0 <= b.balancer.admission.cut < 1 and all(abs(x) < 1e6 for x in b.balancer.evidence[0])
+    assert 0 <= b.balancer.admission.cut < 1 and all(abs(x) < 1e6 for x in b.balancer.zone_stats[0])
     assert isinstance(b.ask(), api.Send)
 
 
@@ -266,7 +266,7 @@
 
 def test_a_cycle_ends_by_count_as_well_as_by_time() -> None:
     b = bench()
-    for _ in range(balance.CYCLE_COUNT - 1):
+    for _ in range(balance.MAX_CYCLE_SENDS - 1):
         b.answer(b.sent())
     assert b.balancer.cycles == 0
     b.answer(b.sent())
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -63,7 +63,9 @@
         other.spread
     )
     for a, z in zip(one.engines, other.engines, strict=True):
-        assert a.out >= z.out and (a.heard < 0 or a.heard <= z.heard)
+        assert a.ejected_for >= z.ejected_for and (
+            a.last_answer_age < 0 or a.last_answer_age <= z.last_answer_age
+        )
     gone = successor(b, HOUR).balancer
     assert gone.admission.cut < 1 and not any(
         m.out_until > b.now + HOUR for m in gone.engines.members.values()
@@ -74,12 +76,16 @@
 def test_nothing_holds_of_a_server_that_has_started_anew() -> None:
     b = lived(5)
     told = b.balancer.learned(b.now)
-    assert told.cut > 0 and any(e.out for e in told.engines) and any(e.heard > 0 for e in told.engines)
+    assert (
+        told.cut > 0
+        and any(e.ejected_for for e in told.engines)
+        and any(e.last_answer_age > 0 for e in told.engines)
+    )
     new = Bench(b.config, servers=0)
     new.now = b.now
     new.list_of(*(endpoint(n + 1, started=b.now) for n in range(8)))
     new.give(api.Recalled(told, 0))
-    assert all(not m.heard and not m.out_until for m in new.balancer.engines.members.values())
+    assert all(not m.last_answer_at and not m.out_until for m in new.balancer.engines.members.values())
 
 
 NUMBERS = st.floats() | st.sampled_from((math.nan, math.inf, -math.inf, -1.0, 1e300))
@@ -107,7 +113,9 @@
     assert 0 <= now.cut <= b.balancer.admission.top and 0 <= now.crossing <= 1 and 0 <= now.budget <= 5
     assert 0 <= now.peak <= 1e5 and all(0 <= x <= 2e9 for x in (*now.histogram.values(), *now.spread))
     assert all(0 <= k.base <= k.aim / 2 and math.isfinite(k.mean + sum(k.latency)) for k in now.classes)
-    assert all(0 <= e.fails <= 1 and 0 <= e.pace <= 1e3 and e.out <= 60 * SECOND for e in now.engines)
+    assert all(
+        0 <= e.failure_rate <= 1 and 0 <= e.pace <= 1e3 and e.ejected_for <= 60 * SECOND for e in now.engines
+    )
     b.now += SECOND
     b.give(api.Timer(0))
     assert isinstance(b.ask(1), api.Send | api.Refuse)
