--- a/sprucenotch/__init__.py
+++ b/sprucenotch/__init__.py
@@ -1,4 +1,4 @@
-"""sprucenotch: the decisions of a client-side load balancer that runs as a sidecar."""
+"""sprucenotch: a client-side load balancer that runs as a sidecar."""
 
 from sprucenotch.api import Settings
 from sprucenotch.policy.balance import Balancer
--- a/sprucenotch/api.py
+++ b/sprucenotch/api.py
@@ -11,15 +11,15 @@
 
 
 class Effect(IntEnum):
-    """What a second run of a request would do."""
+    """The effect of running a request twice."""
 
-    SAFE = 0  # may be repeated freely
-    KEYED = 1  # repeats are dropped by the endpoints of one group, for a time
-    UNSAFE = 2  # must never run twice
+    SAFE = 0  # harmless
+    KEYED = 1  # repeats are dropped by the endpoints of one group, within a window
+    UNSAFE = 2  # not allowed
 
 
 class Scope(IntEnum):
-    """Which endpoints drop the repeats of a keyed request."""
+    """Which endpoints form a deduplication group, and so drop each other's repeats of a keyed request."""
 
     ALL = 0
     ZONE = 1
@@ -27,90 +27,104 @@
 
 
 class Health(IntEnum):
+    """State of an endpoint in discovery's list."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class ListKind(IntEnum):
-    FAILED = 0  # a call to discovery failed; the list in hand stays
-    CACHED = 1  # the list as last held, perhaps stale
+    """What an EndpointList contains, or how a call to discovery failed."""
+
+    FAILED = 0  # a call to discovery failed; the current list stays
+    CACHED = 1  # the last known list, possibly stale
     DELTA = 2  # changed entries only
     FULL = 3  # the complete list
-    SILENT = 4  # a call to discovery said nothing in time; the list in hand stays
+    SILENT = 4  # a call to discovery got no answer in time; the current list stays
 
 
 class Outcome(IntEnum):
+    """How an attempt ended."""
+
     OK = 0
     ERROR = 1  # the endpoint answered with an error; it may have run
-    FULL = 2  # turned away unseen
-    TIMEOUT = 3  # no answer in time; it may have run, or still run
+    FULL = 2  # rejected by the endpoint before it ran
+    TIMEOUT = 3  # no answer in time; it may have run, or may still be running
     CONNECT_FAILED = 4  # no connection, so it never ran
-    RESET = 5  # the connection broke while the attempt was out
-    CANCELLED = 6  # called off; it may have run
-    MOOT = 7  # never sent: the request was over, out of time or out of attempts
-    LOCAL_FAILURE = 8  # never sent: this machine was short of descriptors, memory or ports
+    RESET = 5  # the connection broke during the attempt; it may have run
+    CANCELLED = 6  # cancelled by this sidecar; it may have run
+    MOOT = 7  # never sent: the request had ended, expired or used up its attempts
+    LOCAL_FAILURE = 8  # never sent: this machine lacked descriptors, memory or ports
 
 
 NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.LOCAL_FAILURE))
 
 
 class RequestClass(Struct, frozen=True):
+    """A class of requests: its time limits, worth and repeatability."""
+
     name: str
     aim: int  # an answer within this time earns the full worth
-    limit: int  # all the time a client waits, over its tries
+    limit: int  # total time that a client waits, over all its tries
     worth: float
-    late_worth: float = 0.0  # share of the worth that an answer after the aim still earns
+    late_worth: float = 0.0  # share of the worth earned by an answer after the aim
     effect: Effect = Effect.SAFE
     scope: Scope = Scope.ALL
-    window: int = 0  # how long repeats of a keyed request are dropped
+    window: int = 0  # time in which repeats of a keyed request are dropped
     aim_stretch: float = 0.0
 
 
 class Tenant(Struct, frozen=True):
+    """A tenant and its quota of requests."""
+
     name: str
     quota_per_s: float  # over all sidecars
 
 
 class Settings(Struct, frozen=True):
+    """Settings of the decisions. Times are nanoseconds."""
+
     classes: tuple[RequestClass, ...]
-    instance: int = 0  # this sidecar's number
-    instances: int = 1  # how many sidecars there are
+    instance: int = 0  # number of this sidecar, from 0
+    instances: int = 1  # number of sidecars
     zone: int = 0
     zones: int = 1
     tenants: tuple[Tenant, ...] = ()
     over_share_worth: float = 1.0
     discovery_on_request: bool = False
     ask_within: int = 10_000_000_000
-    drain_grace: int = 500_000_000  # how long requests may still go to a server whose drain counts as told
-    cold_from: float = 1.0  # a starting endpoint can do at least this share of its work
-    cold_for: int = 0  # and is warm after this time
+    drain_grace: int = 500_000_000  # how long requests may still go to a server that is known to drain
+    cold_from: float = 1.0  # minimum share of its full capacity that a starting endpoint has
+    cold_for: int = 0  # time after its start when an endpoint is warm
     fall_multiple: float = 2.0
     max_attempts: int = 3
     can_cancel: bool = False
     parallel_tries: bool = False
     peers: bool = False
     probes: bool = False
-    retry_after_max: int = 0  # longest advice to stay away that clients heed; 0: they get none
+    retry_after_max: int = 0  # longest retry-after advice that clients follow; 0: no advice
     report_fields: tuple[str, ...] = ()  # among: rif, q, busy, lat_ms, rate, fail_rate
-    cross_price: float = 0.0  # per crossing attempt, as a share of the mean worth of a request
+    cross_price: float = 0.0  # per attempt sent to another zone, as a share of the mean worth of a request
     handshake_price: float = 0.0
     connection_price: float = 0.0
     probe_price: float = 0.0
     waste_price: float = 0.0
     worth_by_work: bool = False
-    warm_keys: bool = False  # serving a key again soon takes an endpoint less work
-    tick: int = 5_000_000  # least time between two turns of a sidecar
+    warm_keys: bool = False  # an endpoint serves a recently served key with less work
+    tick: int = 5_000_000  # minimum time between two turns of a sidecar
 
 
 class Endpoint(NamedTuple):
+    """An entry of discovery's list."""
+
     id: EndpointId
     zone: int
     kind: int
     cell: int
     health: int  # a Health
-    share: float  # registered size, compared with other endpoints
-    started: int  # clock of its most recent start; 0: long ago
+    share: float  # registered capacity, relative to other endpoints
+    started: int  # time of its last start; 0: long ago
 
 
 class Attached(NamedTuple):
@@ -118,53 +132,65 @@
 
 
 class EndpointList(NamedTuple):
+    """A list from discovery, changes of it, or a failed call."""
+
     kind: int  # a ListKind
     endpoints: tuple[Endpoint, ...]
 
 
 class Request(NamedTuple):
+    """A request from a client."""
+
     id: int
-    cls: int
-    tenant: int
-    key: int  # 0: none
-    expires: int  # clock at which the client abandons this try
+    cls: int  # index into Settings.classes
+    tenant: int  # index into Settings.tenants
+    key: int  # hash of its key; 0: none
+    expires: int  # time at which the client abandons this try
     hint: int  # expected work; 0: none
-    repeat: bool  # marked by the client as a further try
-    coming: bool = False  # its body is still on the way: its time counts from Uploaded
+    repeat: bool  # marked by the client as a repeat
+    coming: bool = False  # the body is still being received: its deadline counts from Uploaded
 
 
 class Uploaded(NamedTuple):
-    """The last byte of a request that was coming has come."""
+    """The body of a request with `coming` set is complete."""
 
     id: int
     expires: int
 
 
 class Completed(NamedTuple):
+    """An attempt has ended."""
+
     id: int
     attempt: int
     endpoint: EndpointId
     outcome: int  # an Outcome
-    took: int
+    took: int  # duration of the attempt
     over: bool  # the request has its final answer
     report: tuple[float, ...]  # in the order of Settings.report_fields; may be empty
 
 
 class StreamStarted(NamedTuple):
+    """The answer is a stream and has started: no final answer follows."""
+
     id: int
 
 
 class Gone(NamedTuple):
-    """The client has left: nothing more is owed."""
+    """The client has left: no answer is needed any more."""
 
     id: int
 
 
 class Timer(NamedTuple):
+    """A timer set by SetTimer has expired."""
+
     token: int
 
 
 class Probed(NamedTuple):
+    """A probe has ended."""
+
     endpoint: EndpointId
     outcome: int
     took: int
@@ -172,64 +198,68 @@
 
 
 class Retuned(NamedTuple):
-    """Other settings hold for the requests to come. The simulator has no such event."""
+    """New settings for later requests. The simulator has no such event."""
 
     settings: Settings
 
 
 class LearnedEngine(Struct, frozen=True, array_like=True):
-    """What was learned of an endpoint. Times are ages or what is left, never clocks of a dead process."""
+    """Learned state of an endpoint. Times are durations, as clocks of two processes differ."""
 
     id: EndpointId
-    started: int  # as the list had it: of another start nothing holds
-    pace: float  # its latency over the mean of its classes
-    failure_rate: float  # share of attempts that failed
-    last_answer_age: int  # how long ago it last answered; -1: never
-    consecutive_failures: int  # failures in a row
+    started: int  # start time by the list; the state is void after another start
+    pace: float  # its latency relative to the mean of the request classes
+    failure_rate: float  # share of failed attempts, 0 to 1
+    last_answer_age: int  # time since its last answer; -1: never
+    consecutive_failures: int
     ejections: int
     ejected_for: int  # remaining time out of the subset
 
 
 class LearnedClass(Struct, frozen=True, array_like=True):
+    """Learned state of a request class."""
+
     name: str
     aim: int
     level: int  # business level
-    base: float  # latency without wait
-    mean: float
-    latency: tuple[float, float]  # summed over the aim, and count
+    base: float  # latency without queueing
+    mean: float  # mean latency
+    latency: tuple[float, float]  # sum of latency / aim, and count
 
 
 class Learned(Struct, frozen=True, array_like=True):
-    """What the decisions have learned, as a value that another process can take up."""
+    """The learned state of the decisions, as a value that another process can restore."""
 
     engines: tuple[LearnedEngine, ...]
     classes: tuple[LearnedClass, ...]
-    histogram: dict[int, float]  # arrivals by level
+    histogram: dict[int, float]  # arrivals with a key, by level
     spread: tuple[float, ...]  # arrivals without keys, by business level
     cut: float
-    crossing: float
-    budget: float
-    peak: float  # requests in flight
+    crossing: float  # share of requests sent to other zones
+    budget: float  # retries available
+    peak: float  # of the requests in flight
 
 
 class Recalled(NamedTuple):
-    """What an earlier process of this sidecar had learned, that long ago."""
+    """The state that an earlier process of this sidecar had learned, and its age."""
 
     learned: Learned
     age: int
 
 
 class ClockSkew(NamedTuple):
-    """Discovery has told its clock."""
+    """The skew of this process's clock against discovery's, measured from an answer."""
 
     skew: int  # nanoseconds by which this process's clock is ahead
 
 
 class DiscoveryMoved(NamedTuple):
-    """Discovery is to be called at another address from now on. The simulator has no such event."""
+    """The address of discovery has changed. The simulator has no such event."""
 
 
 class PeerMessage(NamedTuple):
+    """A message of another sidecar, sent by Tell."""
+
     sender: int
     body: bytes
 
@@ -253,71 +283,85 @@
 
 
 class Send(NamedTuple):
+    """Send an attempt of a request to an endpoint."""
+
     id: int
     endpoint: EndpointId
     timeout: int  # 0: until the client gives up
-    before: int = 0  # it may go out until then, as a repeat does harm later; 0: at any time
+    before: int = 0  # latest time to send it, as a later repeat would run twice; 0: no limit
 
 
 class Reason(StrEnum):
-    """Why a request gets no answer of a server, and no further attempt."""
+    """Why a request gets no answer from a server and no further attempt."""
 
-    ADMISSION = "admission"  # the cut refuses its level unsent
-    USELESS = "useless"  # a repeat so late that no answer earns
-    EXPIRED = "expired"  # its time is over, or too short for an answer
-    NO_SERVER = "no server"  # none is left that may have it
-    ATTEMPTS = "attempts"  # as many as the settings allow were made
-    RETRY_BUDGET = "retry budget"  # none is saved up
-    OVERLOAD = "overload"  # a further attempt would go into it
-    MAY_HAVE_RUN = "may have run"  # a repeat could do harm
-    CALLED_OFF = "called off"  # nothing was sent, and it was over already
+    ADMISSION = "admission"  # its level is below the admission cut
+    USELESS = "useless"  # a repeat too late for an answer to count
+    EXPIRED = "expired"  # its deadline has passed, or is too near for an answer
+    NO_SERVER = "no server"  # no endpoint may get it
+    ATTEMPTS = "attempts"  # the maximum number of attempts was made
+    RETRY_BUDGET = "retry budget"  # the retry budget is used up
+    OVERLOAD = "overload"  # a further attempt would add to the overload
+    MAY_HAVE_RUN = "may have run"  # a repeat could run it twice
+    CALLED_OFF = "called off"  # nothing was sent, and the request had already ended
 
 
 class Refuse(NamedTuple):
-    """Final answer: declined; a retry does no harm."""
+    """Final answer: refused; a retry by the client is harmless."""
 
     id: int
-    stay_away: int  # advice to the client; 0: none
+    stay_away: int  # retry-after advice to the client in nanoseconds; 0: none
     why: Reason
 
 
 class Fail(NamedTuple):
-    """Final answer: failed; it may have run."""
+    """Final answer: failed; the request may have run."""
 
     id: int
     why: Reason
 
 
 class Cancel(NamedTuple):
+    """Cancel an attempt."""
+
     id: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
+    """Deliver a Timer with this token after the delay."""
+
     delay: int
     token: int
 
 
 class Watch(NamedTuple):
-    """Ask discovery for what is new, and then for the changes from now on."""
+    """Call discovery for changes of the list, and then watch for further ones."""
 
     on: bool
 
 
 class Probe(NamedTuple):
+    """Probe an endpoint; Probed follows."""
+
     endpoint: EndpointId
 
 
 class Disconnect(NamedTuple):
+    """Close the connections to an endpoint."""
+
     endpoint: EndpointId
 
 
 class Tell(NamedTuple):
+    """Send a message to another sidecar."""
+
     peer: int  # a sidecar's number; -1: all
     body: bytes
 
 
 class Log(NamedTuple):
+    """Write a line to the log."""
+
     text: str
 
 
--- a/sprucenotch/config/__init__.py
+++ b/sprucenotch/config/__init__.py
@@ -1,1 +1,1 @@
-"""Other forms of a configuration file than the platform's, which the sidecar reads without any of this."""
+"""The TOML form of a configuration file, schemas and listings. Reading the JSON form needs none of this."""
--- a/sprucenotch/config/schema.py
+++ b/sprucenotch/config/schema.py
@@ -1,4 +1,4 @@
-"""The JSON Schema of a configuration file, in either form, generated from the types."""
+"""The JSON Schema of a configuration file, for its JSON and TOML forms, generated from the types."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 def platform() -> dict[str, Any]:
-    """Of the platform's JSON, which may hold keys beyond these."""
+    """Return the schema of the platform's JSON, which allows further keys."""
     return {"$schema": DIALECT, "title": "sprucenotch: a configuration file", **_plain()}
 
 
 def by_hand() -> dict[str, Any]:
-    """Of the TOML form, which may not."""
+    """Return the schema of the TOML form, which allows no further keys."""
     schema = _plain()
-    for kind in dict.fromkeys(_structs(settings.File)):
-        told = schema["$defs"][kind.__name__]
-        fields = msgspec.structs.fields(kind)
-        properties = {toml.key(f): _spelled(told["properties"][f.encode_name], f) for f in fields}
-        needed = [toml.key(f) for f in fields if f.required]
-        told |= {"properties": properties, "required": needed, "additionalProperties": False}
+    for type_ in dict.fromkeys(_structs(settings.File)):
+        definition = schema["$defs"][type_.__name__]
+        fields = msgspec.structs.fields(type_)
+        properties = {toml.key(f): _toml_property(definition["properties"][f.encode_name], f) for f in fields}
+        required = [toml.key(f) for f in fields if f.required]
+        definition |= {"properties": properties, "required": required, "additionalProperties": False}
     return {"$schema": DIALECT, "title": "sprucenotch: a configuration file in TOML", **schema}
 
 
@@ -36,20 +36,20 @@
     return schema
 
 
-def _spelled(told: dict[str, Any], field: Any) -> dict[str, Any]:
-    if (measure := toml.MEASURES.get(toml.unit(field.type))) is None:
-        return told
-    spelled = {"type": "string", "pattern": rf"^[0-9]+(\.[0-9]+)? ?({'|'.join(measure.units)})$"}
-    if told.get("default") is not None:
-        spelled["default"] = toml.spell(told["default"], field.type)
-    return spelled
+def _toml_property(definition: dict[str, Any], field: Any) -> dict[str, Any]:
+    if (unit_format := toml.UNIT_FORMATS.get(toml.unit(field.type))) is None:
+        return definition
+    property_ = {"type": "string", "pattern": rf"^[0-9]+(\.[0-9]+)? ?({'|'.join(unit_format.units)})$"}
+    if definition.get("default") is not None:
+        property_["default"] = toml.spell(definition["default"], field.type)
+    return property_
 
 
-def _structs(kind: Any) -> Iterator[type[Struct]]:
-    """A type and the types of its parts."""
-    if (inner := settings.part_type(kind)) is not None:
+def _structs(type_: Any) -> Iterator[type[Struct]]:
+    """Yield a Struct type and the Struct types of its fields, recursively."""
+    if (inner := settings.struct_type(type_)) is not None:
         yield inner
         for field in msgspec.structs.fields(inner):
             yield from _structs(field.type)
-    for part in get_args(settings.bare(kind)):
+    for part in get_args(settings.strip_annotations(type_)):
         yield from _structs(part)
--- a/sprucenotch/config/units.py
+++ b/sprucenotch/config/units.py
@@ -1,4 +1,4 @@
-"""Times and sizes as people write them: "400ms", "1.5s", "32MB"."""
+"""Times and sizes with units: "400ms", "1.5s", "32MB"."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 NANOSECONDS = {"ns": 1, "us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000,
                "h": 3_600_000_000_000}  # fmt: skip
 BYTES = {"B": 1, "kB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000, "KiB": 2**10, "MiB": 2**20, "GiB": 2**30}
-_WRITTEN = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?([A-Za-z]+)", re.ASCII)
+_QUANTITY = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?([A-Za-z]+)", re.ASCII)
 
 
 def parse(text: object, units: dict[str, int]) -> int | None:
-    """The number of the smallest unit, rounded down; None where the text is no such figure."""
-    found = _WRITTEN.fullmatch(text) if isinstance(text, str) else None
-    if found is None or found[2] not in units:
+    """Return the value in the smallest unit, rounded down; None if the text is no number with a unit."""
+    match = _QUANTITY.fullmatch(text) if isinstance(text, str) else None
+    if match is None or match[2] not in units:
         return None
-    whole, _, decimals = str(found[1]).partition(".")
-    scale = units[found[2]]
+    whole, _, decimals = str(match[1]).partition(".")
+    scale = units[match[2]]
     return int(whole) * scale + int(decimals or 0) * scale // int(10 ** len(decimals))
 
 
 def spell(value: float, units: dict[str, int]) -> str:
-    """The figure in the largest unit that leaves it whole."""
+    """Format a value in the largest unit in which it is a whole number."""
     if not value:
         return "0s" if units is NANOSECONDS else "0B"
-    fitting = [(scale, unit) for unit, scale in units.items() if not value % scale]
-    if not fitting:
+    exact = [(scale, unit) for unit, scale in units.items() if not value % scale]
+    if not exact:
         return f"{value:g}{min(units, key=units.__getitem__)}"
-    scale, unit = max(fitting)
+    scale, unit = max(exact)
     return f"{int(value // scale)}{unit}"
--- a/sprucenotch/policy/births.py
+++ b/sprucenotch/policy/births.py
@@ -52,5 +52,5 @@
         return self.skew != before
 
     def warm_from(self, started: int, first_seen: int) -> int:
-        """Return when the server's warm-up began, by this process's clock; 0 if the start time is unknown."""
+        """Return when the server's warm-up began, by this process's clock; 0: long ago."""
         return min(started + self.skew, first_seen) if started else 0
--- a/sprucenotch/settings.py
+++ b/sprucenotch/settings.py
@@ -1,9 +1,9 @@
-"""The settings of a deployment as frozen typed values: one reading for the node, the adapter and the model.
+"""The settings of a deployment as frozen typed values, decoded in one place for the node and the simulator.
 
 The types mirror the platform's JSON under its own names (`AimNs` is the field `aim_ns`; times are
-nanoseconds). Unknown keys are passed over, as the platform adds some; what is left out has the default that
-stands here. The JSON Schema and the TOML form follow from these types (`sprucenotch.config`). Source: the
-wire's page, "Settings".
+nanoseconds). Unknown keys are ignored, as the platform may add some; missing keys get the defaults given
+here. The JSON Schema and the TOML form are generated from these types (`sprucenotch.config`). Source: the
+section "Settings" of the wire protocol's page.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 
 from sprucenotch import api
 
-MOST = 1.7976931348623157e308  # the largest finite float: JSON knows no infinity, but TOML does
-# A figure may come as a whole or as a decimal number, and stays what it is.
+MAX_FLOAT = 1.7976931348623157e308  # the largest finite float: TOML has infinity, JSON does not
+# A number may be an integer or a float, and keeps its type.
 Share: TypeAlias = Annotated[
-    Annotated[int, Meta(ge=0)] | Annotated[float, Meta(ge=0, le=MOST)],
+    Annotated[int, Meta(ge=0)] | Annotated[float, Meta(ge=0, le=MAX_FLOAT)],
     Meta(description="a number of at least 0"),
 ]
 Count: TypeAlias = Annotated[
-    Annotated[int, Meta(ge=1)] | Annotated[float, Meta(ge=1, le=MOST)],
+    Annotated[int, Meta(ge=1)] | Annotated[float, Meta(ge=1, le=MAX_FLOAT)],
     Meta(description="a number of at least 1"),
 ]
-Span: TypeAlias = Annotated[Share, Meta(extra={"unit": "ns"})]  # a time that may be none
+Span: TypeAlias = Annotated[Share, Meta(extra={"unit": "ns"})]  # a duration, 0 allowed
 Time: TypeAlias = Annotated[Count, Meta(extra={"unit": "ns"})]
-# Taken for what Python takes it for, as it always was: any value that is not empty or 0 says yes.
+# Converted by Python's truth rules, as earlier versions did: any value but 0 and empty ones is true.
 Flag: TypeAlias = Annotated[Any, Meta(description="true or false", extra_json_schema={"type": "boolean"})]
 Text: TypeAlias = Annotated[Any, Meta(description="a text", extra_json_schema={"type": "string"})]
 Texts: TypeAlias = Annotated[tuple[Text, ...] | None, Meta(description="a list of texts")]
-Unjudged: TypeAlias = Annotated[
+UncheckedDuration: TypeAlias = Annotated[
     Any, Meta(description="a number of at least 0", extra={"unit": "ns"},
               extra_json_schema={"type": "number", "minimum": 0})
 ]  # fmt: skip
@@ -42,7 +42,7 @@
 
 
 class Part(Struct, frozen=True, rename="pascal"):
-    """A group of settings, named as on the wire."""
+    """A group of settings, with keys as on the wire (AimNs for aim_ns)."""
 
 
 class Category(Part, frozen=True):
@@ -69,7 +69,7 @@
 
 
 class Limits(Part, frozen=True):
-    """What the deployment allows."""
+    """What a sidecar of this deployment may do, and its limits."""
 
     max_attempts: Count = 1
     cancel: Flag = False
@@ -77,14 +77,14 @@
     peers: Flag = False
     probes: Flag = False
     retry_after: Flag = False
-    # Judged only by whoever goes by them: clients told when to come back, real connections.
-    max_retry_after_ns: Unjudged = 0
-    connect_timeout_ns: Unjudged = 250_000_000
-    conn_idle_ns: Unjudged = 15_000_000_000
+    # Checked only where they are used: advice to clients, real connections.
+    max_retry_after_ns: UncheckedDuration = 0
+    connect_timeout_ns: UncheckedDuration = 250_000_000
+    conn_idle_ns: UncheckedDuration = 15_000_000_000
 
 
 class Deductions(Part, frozen=True):
-    """What the service is charged for."""
+    """Prices that are deducted from the worth of the service."""
 
     cross_zone: Share = 0
     handshake: Share = 0
@@ -94,6 +94,8 @@
 
 
 class Rules(Part, frozen=True):
+    """Rules of the platform on drains, cold starts and calls to discovery."""
+
     ask_within_ns: Span = 10_000_000_000
     drain_grace_ns: Time = 500_000_000
     cold_from: Share = 1
@@ -109,11 +111,13 @@
 
 
 class Extra(Part, frozen=True):
+    """Further properties of the engines."""
+
     warm_keys: Flag = False
 
 
 class Settings(Part, frozen=True):
-    """The object that the platform calls the settings, whole."""
+    """The platform's settings object."""
 
     categories: Annotated[
         tuple[Category, ...], Meta(min_length=1, description="a list of at least one class")
@@ -138,7 +142,7 @@
     tick_ns: Time = 5_000_000
 
     def decisions(self) -> api.Settings:
-        """What the decision module is given of them."""
+        """Convert to the settings of the decision module."""
         limits, prices, rules = self.limits, self.deductions, self.rules
         reports = () if self.stats.via == "off" else tuple(map(str, self.stats.fields or ()))
         return api.Settings(
@@ -177,22 +181,22 @@
 Address: TypeAlias = Annotated[
     Annotated[str, Meta(pattern=f"^.+:{PORT}$")], Meta(description="an address such as 127.0.0.1:8080")
 ]
-Amount: TypeAlias = Annotated[  # one that makes no sense is as good as none
+LenientCount: TypeAlias = Annotated[  # an invalid value counts as none
     Any, Meta(description="a whole number of at least 1", extra_json_schema={"type": "integer", "minimum": 1})
 ]
-Free: TypeAlias = Annotated[Any, Meta(description="an object", extra_json_schema={"type": "object"})]
+AnyObject: TypeAlias = Annotated[Any, Meta(description="an object", extra_json_schema={"type": "object"})]
 
 
 class Host(Struct, frozen=True):
-    """What the machine of a sidecar gives it."""
+    """Resources that a sidecar may use of its machine."""
 
     cores: Annotated[Any, Meta(description="a number", extra_json_schema={"type": "number"})] = None
-    memory_mb: Annotated[Amount, Meta(extra={"unit": "MB"})] = None
-    sockets: Amount = None
+    memory_mb: Annotated[LenientCount, Meta(extra={"unit": "MB"})] = None
+    sockets: LenientCount = None
 
 
 class Log(Struct, frozen=True):
-    """What the log tells, and how."""
+    """Level and format of the log."""
 
     level: Annotated[
         Literal["debug", "info", "warning", "error"], Meta(description="debug, info, warning or error")
@@ -200,11 +204,11 @@
     form: Annotated[
         Literal["auto", "json", "text"], Meta(description="json, text or auto, which is text on a terminal")
     ] = "auto"
-    access_per_s: Share = 0  # requests told of, a second at most; the others are counted
+    access_per_s: Share = 0  # maximum number of requests logged per second; the others are counted
 
 
 class WrongClock(Struct, frozen=True):
-    """The clock of a machine that is wrong, for tests. Absent in service."""
+    """A wrong clock of the machine, for tests only."""
 
     offset_ns: Annotated[int, Meta(description="a whole number")] = 0
     drift_ppm: Annotated[
@@ -213,26 +217,26 @@
 
 
 class State(Struct, frozen=True):
-    """What a process keeps for the one after it. Absent: nothing is kept, read or offered."""
+    """State kept for the next process. Absent: nothing is stored, read or offered."""
 
-    dir: Text = ""  # a folder of this sidecar's own; empty: nothing on disk
-    deployment: Text = ""  # files of another are not taken
+    dir: Text = ""  # a folder for this sidecar only; empty: nothing on disk
+    deployment: Text = ""  # files of other deployments are ignored
     mode: Annotated[Literal["none", "interval", "always"], Meta(description="none, interval or always")] = (
         "interval"
     )
-    sync_ns: Time = 1_000_000_000  # where the mode is interval
-    oldest_ns: Time = 600_000_000_000  # what is older is not taken
-    predecessor: Address | None = None  # management address of the process before, asked where it is there
+    sync_ns: Time = 1_000_000_000  # time between syncs if the mode is interval
+    oldest_ns: Time = 600_000_000_000  # maximum age of state; older state is ignored
+    predecessor: Address | None = None  # management address of the previous process
 
 
 class TestDisk(Struct, frozen=True):
-    """A disk whose operations are recorded, for tests. Absent in service."""
+    """A recording of all disk operations, for tests only."""
 
     record: Text = ""
 
 
 class File(Struct, frozen=True):
-    """A configuration file, whole. Source: the deployment's page, "What a sidecar is told"."""
+    """A configuration file. Source: the deployment's page, "What a sidecar is told"."""
 
     listen: Address
     discovery: Address
@@ -242,7 +246,7 @@
     mgmt: Address | None = None
     limits: Host = Host()
     log: Log = Log()
-    known: Free | None = None
+    known: AnyObject | None = None
     peer_listen: Address | None = None
     peers: Annotated[tuple[Address, ...] | None, Meta(description="a list of addresses")] = ()
     peers_all: Address | None = None
@@ -270,17 +274,17 @@
 
 
 class Problem(NamedTuple):
-    """Something that cannot be taken."""
+    """An invalid value, by its path."""
 
     path: str
-    said: str  # "is 0, where a number of at least 1 is allowed"
+    message: str  # "is 0, where a number of at least 1 is allowed"
 
     def __str__(self) -> str:
-        return f"{self.path} {self.said}"
+        return f"{self.path} {self.message}"
 
 
 class SettingsError(Exception):
-    """Settings that cannot be taken. Its text is one line with all that is wrong in them."""
+    """Invalid settings. The text is one line with all problems."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("; ".join(map(str, problems)))
@@ -288,7 +292,7 @@
 
 
 def decode(raw: bytes) -> Settings:
-    """The settings in the platform's JSON. Raises SettingsError with every problem in them."""
+    """Decode settings from the platform's JSON. Raises SettingsError with all problems."""
     try:
         return read(msgspec.json.decode(raw))
     except (msgspec.DecodeError, RecursionError) as problem:
@@ -296,86 +300,86 @@
 
 
 def read(raw: Any) -> Settings:
-    """The same, of what is decoded already."""
+    """Convert settings that are already decoded from JSON. Raises SettingsError with all problems."""
     settings = typed(raw, Settings, "settings")
     if settings.limits.retry_after:
         judge(settings.limits, "max_retry_after_ns", Span)
     return settings
 
 
-def judge(limits: Limits, field: str, kind: Any) -> int:
-    """A limit that was left unjudged, in nanoseconds. Raises SettingsError where it makes no sense."""
+def judge(limits: Limits, field: str, type_: Any) -> int:
+    """Check a limit that `Limits` leaves unchecked. Return it in nanoseconds, or raise SettingsError."""
     value = getattr(limits, field)
     [name] = (known.encode_name for known in msgspec.structs.fields(limits) if known.name == field)
-    if (found := fault(value, kind, f"settings.Limits.{name}")) is not None:
+    if (found := find_problem(value, type_, f"settings.Limits.{name}")) is not None:
         raise SettingsError([found])
     return int(value)
 
 
-def typed(raw: Any, kind: type[T], path: str) -> T:
-    """A decoded object as a value of that type. Raises SettingsError with every problem in it."""
+def typed(raw: Any, type_: type[T], path: str) -> T:
+    """Convert a decoded object to a type. Raises SettingsError with all problems."""
     try:
-        return msgspec.convert(raw, kind)
+        return msgspec.convert(raw, type_)
     except msgspec.ValidationError:
-        raise SettingsError(list(problems(raw, kind, path))) from None
+        raise SettingsError(list(problems(raw, type_, path))) from None
 
 
-def problems(raw: Any, kind: Any, path: str) -> Iterator[Problem]:
-    """Everything in a decoded object that its type does not allow, by path."""
-    inner = part_type(kind)
+def problems(raw: Any, type_: Any, path: str) -> Iterator[Problem]:
+    """Yield a Problem for each value in a decoded object that its type does not allow."""
+    inner = struct_type(type_)
     if isinstance(raw, dict) and inner is not None:
         for field in msgspec.structs.fields(inner):
-            below = f"{path}.{field.encode_name}" if path else field.encode_name
+            child_path = f"{path}.{field.encode_name}" if path else field.encode_name
             if field.encode_name in raw:
-                yield from problems(raw[field.encode_name], field.type, below)
+                yield from problems(raw[field.encode_name], field.type, child_path)
             elif field.required:
-                yield Problem(below, f"is missing, where {allowed(field.type)} is needed")
-    elif isinstance(raw, list) and raw and (entry := entry_type(kind)) is not None:
+                yield Problem(child_path, f"is missing, where {describe_allowed(field.type)} is needed")
+    elif isinstance(raw, list) and raw and (entry := entry_struct_type(type_)) is not None:
         for number, value in enumerate(raw):
             yield from problems(value, entry, f"{path}[{number}]")
-    elif (found := fault(raw, kind, path)) is not None:
+    elif (found := find_problem(raw, type_, path)) is not None:
         yield found
 
 
-def fault(raw: Any, kind: Any, path: str) -> Problem | None:
-    """What is wrong with a single value, if anything."""
+def find_problem(raw: Any, type_: Any, path: str) -> Problem | None:
+    """Return the Problem of a single value, or None if its type allows it."""
     try:
-        msgspec.convert(raw, kind)
+        msgspec.convert(raw, type_)
     except msgspec.ValidationError:
-        return Problem(path, f"is {_shown(raw)}, where {allowed(kind)} is allowed")
+        return Problem(path, f"is {_short_repr(raw)}, where {describe_allowed(type_)} is allowed")
     return None
 
 
-def _shown(raw: Any) -> str:
+def _short_repr(raw: Any) -> str:
     text = repr(raw)
     return text if len(text) <= 60 else f"{text[:57]}..."
 
 
-def bare(kind: Any) -> Any:
-    """A type without what is said about it."""
-    return bare(get_args(kind)[0]) if get_origin(kind) is Annotated else kind
+def strip_annotations(type_: Any) -> Any:
+    """Return the type without its annotations."""
+    return strip_annotations(get_args(type_)[0]) if get_origin(type_) is Annotated else type_
 
 
-def part_type(kind: Any) -> type[Struct] | None:
-    """The type of an object, if it is one, or one that may be left out."""
-    inner = bare(kind)
+def struct_type(type_: Any) -> type[Struct] | None:
+    """Return the Struct type if the type is one, or an optional one; else None."""
+    inner = strip_annotations(type_)
     choices = get_args(inner) if get_origin(inner) is UnionType else (inner,)
     return next((c for c in choices if isinstance(c, type) and issubclass(c, Struct)), None)
 
 
-def entry_type(kind: Any) -> type[Struct] | None:
-    """The type of a list's entries, if they are objects."""
-    inner = bare(kind)
+def entry_struct_type(type_: Any) -> type[Struct] | None:
+    """Return the Struct type of a list's entries; None if the type is no list of objects."""
+    inner = strip_annotations(type_)
     for choice in (inner, *get_args(inner)):
         if get_origin(choice) is tuple:
-            return part_type(get_args(choice)[0])
+            return struct_type(get_args(choice)[0])
     return None
 
 
-def allowed(kind: Any) -> str:
-    """What a type takes, in words."""
-    said = [meta.description for meta in getattr(kind, "__metadata__", ()) if meta.description]
-    if said:
-        return str(said[-1])
-    choices = [allowed(choice) for choice in get_args(kind) if choice is not type(None)]
+def describe_allowed(type_: Any) -> str:
+    """Describe the values that a type allows, for messages."""
+    descriptions = [meta.description for meta in getattr(type_, "__metadata__", ()) if meta.description]
+    if descriptions:
+        return str(descriptions[-1])
+    choices = [describe_allowed(choice) for choice in get_args(type_) if choice is not type(None)]
     return choices[0] if choices else "an object"
--- a/sprucenotch/sim/__init__.py
+++ b/sprucenotch/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter for the simulator: the same decisions on its wire."""
+"""The adapter for the simulator: runs the same decisions behind its wire protocol."""
--- a/sprucenotch/sim/host.py
+++ b/sprucenotch/sim/host.py
@@ -1,4 +1,4 @@
-"""Hosts many instances on the simulator's wire, over standard input and output. It decides nothing."""
+"""Runs many balancer instances for the simulator, over standard input and output."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends. Raises wire.WireError on a frame that can't be."""
+    """Answer batches until the input ends. Raises wire.WireError on an invalid frame."""
     decoder = wire.Decoder()
     instances: dict[int, Balancer] = {}
     encode = wire.encode
@@ -38,13 +38,13 @@
                         settings.decode(event.conf).decisions(), event.seed
                     )
                     actions = balancer.handle(now, api.Attached())
-                elif (held := instances.get(number)) is not None:
-                    actions = held.handle(now, event)
+                elif (running := instances.get(number)) is not None:
+                    actions = running.handle(now, event)
                 else:
-                    continue  # an event for an instance that was never started or has died
+                    continue  # an event for an instance that was never started or has failed
                 for action in actions:
                     out.append(encode(number, action))
-            except Exception as problem:  # any fault of the decisions ends the day, with its cause
+            except Exception as problem:  # a fault of the decisions ends the simulated day: report its cause
                 instances.pop(number, None)
                 out.append(wire.die(number, f"{type(problem).__name__}: {problem}"))
         sink.write(wire.frame(out))
--- a/sprucenotch/sim/wire.py
+++ b/sprucenotch/sim/wire.py
@@ -1,4 +1,4 @@
-"""The codec of the simulator's wire: frames of events in, frames of actions out. It decides nothing."""
+"""The codec of the simulator's wire protocol: frames of events in, frames of actions out."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 _A_DROP, _A_FLAG = Struct("<BHQB"), Struct("<BHB")
 _A_ENDPOINT, _A_TELL, _A_TEXT = Struct("<BH6s"), Struct("<BHHH"), Struct("<BHH")
 
-OUTCOMES = {0: 0, 13: 1, 8: 2, 4: 3, 14: 4, 10: 5, 1: 6, 9: 7}  # the wire's code: api.Outcome
-LIST_KINDS = {0: 0, 2: 1, 3: 2, 4: 3}  # the wire's code: api.ListKind
+OUTCOMES = {0: 0, 13: 1, 8: 2, 4: 3, 14: 4, 10: 5, 1: 6, 9: 7}  # code on the wire: api.Outcome
+LIST_KINDS = {0: 0, 2: 1, 3: 2, 4: 3}  # code on the wire: api.ListKind
 _HEALTHS = (0, 1, 2)
 
 
 class WireError(Exception):
-    """A frame or a setting that this wire does not allow."""
+    """A frame that the protocol does not allow."""
 
 
 class Attach:
-    """A new instance; its settings are still text, so that what is wrong in them is that instance's fault."""
+    """Start of an instance. Its settings are decoded later, so that an error ends only that instance."""
 
     __slots__ = ("conf", "seed")
 
@@ -39,6 +39,8 @@
 
 
 class Stop:
+    """End of an instance."""
+
     __slots__ = ()
 
 
@@ -46,13 +48,13 @@
 
 
 class Decoder:
-    """Holds the numbered lists, which belong to the whole process."""
+    """Decodes batches. Keeps the numbered endpoint lists, which all instances share."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[api.Endpoint, ...]] = {}
 
     def events(self, frame: bytes, count: int) -> Iterator[tuple[int, Attach | Stop | api.Event]]:
-        """The records of a batch (from just after its header), in order: (instance, event)."""
+        """Yield (instance, event) for each record of a batch, given without its header."""
         at, end = 0, len(frame)
         for _ in range(count):
             if at >= end:
@@ -158,7 +160,7 @@
 
 
 def encode(instance: int, action: api.Action) -> bytes:
-    """One action as a record of a reply."""
+    """Encode an action as a record of a reply."""
     return _WRITERS[type(action)](instance, action)
 
 
@@ -168,6 +170,7 @@
 
 
 def die(instance: int, text: str) -> bytes:
+    """Encode the record that reports the failure of an instance."""
     return _text(25, instance, text)
 
 
@@ -186,5 +189,6 @@
 
 
 def frame(records: list[bytes]) -> bytes:
+    """Join records to a reply frame."""
     body = b"".join(records)
     return REPLY.pack(len(records), 8 + len(body)) + body
