--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Shared by the tests: short ways to build settings, endpoints and a running Balancer."""
+"""Test helpers: build settings, endpoints and a running Balancer."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 def call_timers(actions: list[api.Action]) -> list[api.SetTimer]:
-    """The timers of the next call to discovery among these actions."""
+    """Return the timers for the next call to discovery among these actions."""
     return [a for a in actions if isinstance(a, api.SetTimer) and a.token == DISCOVERY_TIMER]
 
 
 class Bench:
-    """A Balancer with its clock and the sends still out."""
+    """A Balancer with a manual clock."""
 
     def __init__(self, config: api.Settings, servers: int = 6, seed: int = 1) -> None:
         self.now = START
@@ -57,12 +57,13 @@
         return self.give(api.EndpointList(kind, entries))
 
     def ask(self, cls: int = 0, left: int = 2 * SECOND, key: int = 0, tenant: int = 0) -> api.Action:
-        """One request; its only action: a Send, or the final answer."""
+        """Give a request. Return its only action: a Send or the final answer."""
         self.next_id += 1
         [action] = self.give(api.Request(self.next_id, cls, tenant, key, self.now + left, 0, False))
         return action
 
     def sent(self, cls: int = 0, key: int = 0, left: int = 2 * SECOND) -> api.Send:
+        """Give a request that must be sent. Return the Send."""
         action = self.ask(cls, key=key, left=left)
         assert isinstance(action, api.Send), action
         return action
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -1,4 +1,4 @@
-"""Starts of servers by a clock that was stepped before the process read it."""
+"""Start times of servers when the clock was stepped before the process read it."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 @pytest.mark.parametrize("step", [0, HOUR, -HOUR, 5 * SECOND, -5 * SECOND])
 @pytest.mark.parametrize("kind", [ListKind.FULL, ListKind.CACHED])
-def test_with_discoverys_clock_a_server_that_has_just_started_is_cold(step: int, kind: ListKind) -> None:
+def test_start_time_with_discovery_clock_makes_new_server_cold(step: int, kind: ListKind) -> None:
     b = bench()
-    born = b.now - step - 2 * SECOND  # by the clock of others; cold for 8 s
-    b.list_of(*(endpoint(n + 1) for n in range(4)), endpoint(9, started=born), kind=kind)
+    started = b.now - step - 2 * SECOND  # by the other machines' clock; cold for 8 s
+    b.list_of(*(endpoint(n + 1) for n in range(4)), endpoint(9, started=started), kind=kind)
     b.give(api.ClockSkew(step))
     assert 0.3 < warmth(b, 9) < 0.9
     b.now += 8 * SECOND
     assert warmth(b, 9) == 1
 
 
-def test_without_it_a_start_that_comes_as_news_tells_the_skew() -> None:
+def test_skew_without_discovery_clock_is_taken_from_reported_start() -> None:
     for step in (HOUR, -HOUR):
         b = bench()
         b.now += 2 * HOUR
@@ -45,7 +45,7 @@
         assert warmth(b, 10) < 0.5
 
 
-def test_a_server_told_as_starting_in_the_future_warms_up_from_when_it_was_first_seen() -> None:
+def test_start_time_in_the_future_warms_up_from_first_listing() -> None:
     b = bench()
     b.list_of(*(endpoint(n + 1) for n in range(4)), endpoint(9, started=b.now + HOUR), kind=ListKind.FULL)
     assert warmth(b, 9) == pytest.approx(0.3)
@@ -53,8 +53,8 @@
     assert warmth(b, 9) == 1
 
 
-def test_one_server_listed_late_is_corrected_by_the_next_start() -> None:
-    """It was warm and away; taken for a skew, it is cold for a while, and the others stay as they were."""
+def test_skew_from_late_listed_server_is_corrected_by_next_start() -> None:
+    """A warm server that was long unlisted looks like a skew, and counts as cold until another starts."""
     b = bench()
     b.list_of(endpoint(9, started=b.now - HOUR), kind=ListKind.DELTA)
     assert warmth(b, 9) < 0.5 and warmth(b, 1) == 1
@@ -62,8 +62,8 @@
     assert warmth(b, 10) < 0.5 and warmth(b, 9) == 1
 
 
-def test_news_of_usual_age_go_before_discoverys_clock() -> None:
-    """A Date that disagrees with the starts that it comes with is of no use for them."""
+def test_plausible_report_delay_overrides_discovery_clock() -> None:
+    """A Date that disagrees with plausible start times is ignored."""
     b = bench()
     b.give(api.ClockSkew(HOUR))
     b.list_of(endpoint(9, started=b.now - 20 * SECOND), kind=ListKind.DELTA)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         (b"Sun, 06 Nov 1994 08:49:37 GMT", 784111777 * SECOND),
         (b"Sunday, 06-Nov-94 08:49:37 GMT", None),
@@ -83,5 +83,5 @@
         (b"\xff", None),
     ],
 )
-def test_a_date_is_read_as_the_standard_prefers_it(text: bytes, told: int | None) -> None:
-    assert http_date(text) == told
+def test_http_date_accepts_only_preferred_format(text: bytes, expected: int | None) -> None:
+    assert http_date(text) == expected
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Subset and choice, endpoint health, list and drains."""
+"""Subset, choice of a member, endpoint health, lists, drains and probes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tests.helpers import MS, SECOND, START, Bench, call_timers, endpoint, request_class, settings
 
 
-def test_idle_members_come_first() -> None:
+def test_pick_prefers_idle_members() -> None:
     b = Bench(settings(), servers=20)
     size = len({b.sent().endpoint for _ in range(engines.MIN_SUBSET_FREE)})
     assert size == engines.MIN_SUBSET_FREE
 
 
-def test_the_subset_is_small_and_grows_with_requests_in_flight() -> None:
+def test_subset_is_small_and_grows_with_requests_in_flight() -> None:
     b = Bench(settings(connection_price=0.05), servers=40)
     for _ in range(50):
         b.answer(b.sent())
@@ -32,8 +32,8 @@
     assert len(b.balancer.engines.subset[0]) > engines.MIN_SUBSET_PRICED + 10
 
 
-def test_the_subset_grows_once_for_all_zones() -> None:
-    """Grown in each zone, it held more members than a sidecar with little traffic gets to know."""
+def test_subset_growth_is_shared_by_all_zones() -> None:
+    """Growing per zone, it held more members than a sidecar with little traffic can measure."""
     sizes = []
     for zones in (1, 2):
         b = Bench(settings(zones=zones, probes=False), servers=0)
@@ -48,7 +48,7 @@
     assert sizes[0] >= 16 and sizes[1] == pytest.approx(sizes[0], abs=1)
 
 
-def test_list_changes_move_little_of_the_subset() -> None:
+def test_list_change_keeps_rest_of_subset() -> None:
     b = Bench(settings(connection_price=0.05), servers=40)
     b.sent()
     before = {m.id for m in b.balancer.engines.subset[0]}
@@ -59,8 +59,8 @@
     assert len(before & after) == len(before) - 1 and gone not in after
 
 
-def test_a_quickly_erring_member_stops_drawing() -> None:
-    """It is never busy with our requests, so an idle-first choice alone would favour it."""
+def test_fast_failing_member_gets_few_requests() -> None:
+    """It is never busy, so choosing idle members first would favour it."""
     b = Bench(settings(), servers=8)
     bad = (1).to_bytes(6, "little")
     drawn = Counter[bytes]()
@@ -75,7 +75,7 @@
     assert drawn[bad] < 400 / 8 / 3, drawn
 
 
-def test_a_slow_member_draws_less_and_unheard_count_as_the_mean() -> None:
+def test_slow_member_gets_fewer_requests_and_unknown_members_count_as_mean() -> None:
     b = Bench(settings(), servers=8)
     slow, times = (1).to_bytes(6, "little"), random.Random(1)
     drawn = Counter[bytes]()
@@ -88,8 +88,8 @@
     assert drawn[slow] < 600 / 8 / 2 and len(drawn) == 8
 
 
-def test_the_quickest_idle_member_is_found_among_many_bad_ones() -> None:
-    """Each of many sidecars must meet a bad server to know it: one that does must not draw it by chance."""
+def test_pick_finds_fastest_idle_members_among_slow_ones() -> None:
+    """Each sidecar has to measure a slow server itself; then it must not choose that server by chance."""
     b = Bench(settings(), servers=8)
     b.balancer.kinds[0].mean = 100.0 * MS
     for member in b.balancer.engines.members.values():
@@ -101,13 +101,13 @@
             b.answer(send)
 
 
-def test_members_not_yet_heard_from_are_taken_at_random() -> None:
+def test_pick_among_unknown_members_is_random() -> None:
     firsts = {Bench(settings(), servers=8, seed=seed).sent().endpoint for seed in range(20)}
     assert len(firsts) > 3
 
 
-def test_at_most_half_the_subset_is_ejected() -> None:
-    """If nearly all look bad the trouble is shared: shed, but do not eject."""
+def test_ejection_keeps_half_of_the_subset() -> None:
+    """If nearly all members fail, the cause is common to them: shed, but do not eject."""
     b = Bench(settings(max_attempts=1), servers=engines.MIN_SUBSET_FREE)
     for _ in range(300):
         b.now += 5 * MS
@@ -125,13 +125,13 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.RESET, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR])
-def test_single_failures_between_answers_eject_nobody(outcome: api.Outcome) -> None:
-    """A running server may break a connection now and then; one that fails time after time is out."""
+def test_failures_between_answers_do_not_eject(outcome: api.Outcome) -> None:
+    """A healthy server may break a connection now and then; consecutive failures eject a server."""
     b = Bench(settings(max_attempts=1), servers=4)
     [failing, *_] = b.balancer.engines.members
     failed = 0
     for member in b.balancer.engines.members.values():
-        member.inflight += member.id != failing  # the others are busy: an idle one that fails still draws
+        member.inflight += member.id != failing  # the others are busy, so that the failing idle one is chosen
     for _ in range(201):
         bad = failed < 2  # two in a row, then an answer
         failed = (failed + 1) % 3
@@ -143,8 +143,8 @@
 
 
 @pytest.mark.parametrize("aim", [125 * MS, 500 * MS])
-def test_the_time_out_of_the_subset_goes_with_the_aims(aim: int) -> None:
-    """Where requests are wanted four times sooner, a server is missed four times sooner."""
+def test_ejection_time_scales_with_aim(aim: int) -> None:
+    """With an aim four times shorter, an ejection is four times shorter."""
     b = Bench(settings(request_class(aim=aim), max_attempts=1), servers=4)
     for _ in range(40):
         b.answer(b.sent(), api.Outcome.CONNECT_FAILED, MS)
@@ -152,8 +152,8 @@
     assert out and all(2 * aim < left < 10 * aim for left in out)
 
 
-def test_an_endpoint_may_stay_dead_for_ever() -> None:
-    """Its time out doubles only up to the most: a thousand doublings are no number any more."""
+def test_ejection_time_of_dead_endpoint_is_bounded() -> None:
+    """The ejection time doubles up to a maximum: a thousand doublings would overflow."""
     b = Bench(settings(max_attempts=1), servers=2)
     dead = next(iter(b.balancer.engines.members.values()))
     for _ in range(1500):
@@ -169,8 +169,8 @@
     assert b.now < dead.out_until <= b.now + int(1.25 * engines.MAX_EJECTION_AIMS * b.balancer.aim)
 
 
-def test_requests_that_fail_together_count_as_one_failure() -> None:
-    """One long request delays all behind it: that server is slow for a moment, not out of order."""
+def test_simultaneous_failures_count_as_one() -> None:
+    """One long request delays all behind it: the server is slow for a moment, not broken."""
     b = Bench(settings(max_attempts=1), servers=4)
     members = b.balancer.engines.members.values()
     for failed in range(engines.FAILURES_TO_EJECT):
@@ -179,10 +179,10 @@
         b.now += 500 * MS
         for send in sends:
             b.answer(send, api.Outcome.TIMEOUT, 500 * MS)
-    assert all(m.out_until for m in members)  # each of these was sent after the one before had failed
+    assert all(m.out_until for m in members)  # each round was sent after the previous one had failed
 
 
-def test_full_servers_are_not_ejected_for_a_failure_between() -> None:
+def test_full_servers_are_not_ejected() -> None:
     b = Bench(settings(max_attempts=1), servers=4)
     for i in range(200):
         b.now += 5 * MS
@@ -191,8 +191,8 @@
 
 
 @pytest.mark.parametrize("servers", [1, 3, 4, 7])
-def test_at_most_half_of_few_endpoints_are_ejected(servers: int) -> None:
-    """Fewer endpoints than the subset has places: half of those there are stay in, so something is sent."""
+def test_ejection_keeps_half_of_few_endpoints(servers: int) -> None:
+    """With fewer endpoints than the subset size, half of them stay in use."""
     b = Bench(settings(max_attempts=1), servers=servers)
     for _ in range(300):
         b.now += 5 * MS
@@ -201,7 +201,7 @@
     assert len(b.balancer.engines.subset[0]) == servers - servers // 2
 
 
-def test_nothing_new_goes_to_a_draining_or_gone_endpoint() -> None:
+def test_draining_or_gone_endpoint_gets_no_new_requests() -> None:
     b = Bench(settings(), servers=2)
     one, two = (n.to_bytes(6, "little") for n in (1, 2))
     b.give(api.EndpointList(api.ListKind.DELTA, (endpoint(1, api.Health.DRAINING),)))
@@ -213,7 +213,7 @@
 
 
 def answered(b: Bench) -> bytes:
-    """One request, answered at once where it is sent."""
+    """Give a request and answer it at once if it is sent. Return the endpoint, or b"" if refused."""
     action = b.ask()
     if not isinstance(action, api.Send):
         return b""
@@ -221,8 +221,8 @@
     return action.endpoint
 
 
-def test_a_cold_endpoint_gets_its_warmth_of_what_a_warm_one_answers() -> None:
-    """Many independent sidecars together must not push over an endpoint that has just started."""
+def test_cold_endpoint_gets_its_warmth_share_of_warm_answers() -> None:
+    """Many independent sidecars together must not overload an endpoint that has just started."""
     sent = Counter[bool]()
     for seed in range(100):
         b = Bench(settings(instance=seed, instances=100), servers=0, seed=seed)
@@ -233,8 +233,8 @@
     assert 0 < sent[True] <= fair * warmth * 1.3
 
 
-def test_cold_endpoints_earn_by_the_answers_of_warm_ones_in_either_zone() -> None:
-    """A zone that has restarted as a whole has no warm one to earn by, and stayed idle until it was warm."""
+def test_cold_zone_earns_credit_from_warm_zone() -> None:
+    """A zone that restarted as a whole has no warm members of its own, and had stayed idle until warm."""
     b = Bench(settings(zones=2, zone=1), servers=0)
     b.list_of(*(endpoint(n, zone=n // 5, started=START - SECOND if n < 5 else 0) for n in range(1, 9)))
     sent = Counter(answered(b)[0] < 5 for _ in range(200))
@@ -242,18 +242,18 @@
     assert 2 * fair * warmth < sent[True] <= 200 * warmth
 
 
-def test_with_no_warm_member_cold_ones_get_a_trickle() -> None:
+def test_cold_members_without_warm_ones_get_a_trickle() -> None:
     odd = Bench(settings(), servers=0)
     odd.list_of(endpoint(1, started=START + 9 * SECOND))  # a start in the future: just started
-    assert not answered(odd)  # and none at once, as all sidecars would
+    assert not answered(odd)  # nothing at once, as all sidecars would send
     sent = 0
     for _ in range(12):
         sent += bool(odd.tick(0.25) and answered(odd))
-    assert sent == 3  # a request a second and a server, over all sidecars
+    assert sent == 3  # one request per second and server, over all sidecars
 
 
-def test_nothing_is_saved_up_for_a_bulk_restart() -> None:
-    """Credit of all sidecars, spent at once, pushed servers over that had just come back."""
+def test_cold_credit_is_not_saved_before_bulk_restart() -> None:
+    """The saved credit of all sidecars, spent at once, had overloaded servers that had just restarted."""
     b = Bench(settings(), servers=8)
     for _ in range(100):
         answered(b)
@@ -261,8 +261,8 @@
     assert answered(b)[0] >= 5
 
 
-def test_a_storm_that_is_not_answered_earns_cold_members_nothing() -> None:
-    """A part of what is sent, in a storm of retries, was four times what cold servers could do."""
+def test_unanswered_sends_earn_no_cold_credit() -> None:
+    """Credit per send, during a retry storm, had given cold servers four times their capacity."""
     b = Bench(settings(request_class(late_worth=0.5), max_attempts=1), servers=0)
     b.list_of(*(endpoint(n, started=START - SECOND if n == 1 else 0) for n in range(1, 9)))
     for _ in range(400):
@@ -271,7 +271,7 @@
             b.answer(send, api.Outcome.FULL, MS)
 
 
-def test_a_restart_forgets_what_was_known() -> None:
+def test_endpoint_restart_resets_its_health() -> None:
     b = Bench(settings(), servers=1)
     member = next(iter(b.balancer.engines.members.values()))
     b.answer(b.sent(), api.Outcome.ERROR)
@@ -280,51 +280,51 @@
     assert member.failure_rate == 0 and not member.last_answer_at
 
 
-def test_zones_local_first_and_crossing_only_for_enough_worth() -> None:
+def test_requests_stay_local_and_cross_only_with_enough_worth() -> None:
     cheap, dear = request_class(worth=1.0), request_class(worth=9.0)
     b = Bench(settings(cheap, dear, zones=2, cross_price=0.4), servers=0)
     b.list_of(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
     assert all(b.sent(1).endpoint[0] % 2 == 0 for _ in range(8))
     b.balancer.crossing = 1.0
     assert all(b.sent(1).endpoint[0] % 2 == 1 for _ in range(8))
-    assert all(b.sent(0).endpoint[0] % 2 == 0 for _ in range(8))  # not worth its crossing
+    assert all(b.sent(0).endpoint[0] % 2 == 0 for _ in range(8))  # not worth the price of crossing
 
 
 def until_call(actions: list[api.Action]) -> int:
-    """The time until the next call to discovery, as the decisions set it."""
+    """Return the delay of the only timer for a call to discovery."""
     [timer] = call_timers(actions)
     return timer.delay
 
 
-def test_discovery_is_asked_in_time_and_again_after_a_failure() -> None:
+def test_discovery_is_called_in_time_and_again_after_failure() -> None:
     b = Bench(settings(discovery_on_request=True, ask_within=10 * SECOND))
-    asked: list[int] = []
+    probed: list[int] = []
     pause = until_call(b.attached)
     for _ in range(40):
         b.now += pause
         assert b.give(api.Timer(DISCOVERY_TIMER)) == [api.Watch(True)]
-        asked.append(b.now)
+        probed.append(b.now)
         pause = until_call(b.give(api.EndpointList(api.ListKind.FAILED, ())))
-    gaps = [later - earlier for earlier, later in zip([START, *asked], asked, strict=False)]
+    gaps = [later - earlier for earlier, later in zip([START, *probed], probed, strict=False)]
     assert max(gaps) < 10 * SECOND
     b.give(api.EndpointList(api.ListKind.DELTA, ()))
     assert b.give(api.Timer(DISCOVERY_TIMER)) == []
     assert not any(isinstance(a, api.Watch) for _ in range(60) for a in b.tick(0.25))
 
 
-def test_first_subscriptions_are_spread() -> None:
+def test_first_discovery_calls_are_spread() -> None:
     pauses = {until_call(Bench(settings(discovery_on_request=True), seed=n).attached) for n in range(20)}
     assert len(pauses) > 5 and max(pauses) - min(pauses) > SECOND
 
 
-def test_a_zone_that_the_settings_lack_ends_nothing() -> None:
+def test_endpoint_in_unknown_zone_is_used() -> None:
     b = Bench(settings(), servers=0)
     b.list_of(endpoint(1, zone=9))
     b.answer(b.sent())
 
 
-def test_the_subset_does_not_grow_in_overload() -> None:
-    """Requests pile up then, and each new connection would only cost the servers more."""
+def test_subset_does_not_grow_in_overload() -> None:
+    """Requests accumulate in overload, and each new connection would add to the servers' load."""
     b = Bench(settings(connection_price=0.05), servers=40)
     b.answer(b.sent())
     b.balancer.pressure = 2.0
@@ -335,20 +335,20 @@
     assert len(b.balancer.engines.subset[0]) == engines.MIN_SUBSET_PRICED
 
 
-def test_a_cold_majority_gets_no_more_than_its_warmth_of_a_fair_part() -> None:
-    """After a bulk restart most of a subset is cold; draws among the rest sent one six times too much."""
+def test_cold_majority_gets_at_most_its_warmth_share() -> None:
+    """After a bulk restart most of a subset is cold; a random choice had overloaded one six times."""
     sent = Counter[int]()
     for seed in range(100):
         b = Bench(settings(instance=seed, instances=100, fall_multiple=2.5), servers=0, seed=seed)
         b.list_of(*(endpoint(n, started=START - SECOND if n <= 6 else 0) for n in range(1, 9)))
         for _ in range(12):
             sent[int.from_bytes(answered(b), "little")] += 1
-    fair = 1200 * (0.3 + 0.7 / 8) / 2  # all goes to the two warm ones or by what they answer
+    fair = 1200 * (0.3 + 0.7 / 8) / 2  # sends to cold ones are earned by the warm ones' answers
     assert all(0 < sent[n] < fair for n in range(1, 7)), sent
-    assert sent[0] == 0  # the warm ones take the rest
+    assert sent[0] == 0  # nothing was refused
 
 
-def test_a_cold_endpoint_gets_no_further_attempts() -> None:
+def test_cold_endpoint_gets_no_retries() -> None:
     b = Bench(settings(request_class(late_worth=0.5)), servers=0)
     b.list_of(endpoint(1), *(endpoint(n, started=START - 4 * SECOND) for n in range(2, 9)))
     for _ in range(40):
@@ -357,7 +357,7 @@
             assert not any(isinstance(a, api.Send) for a in again)
 
 
-ASKING = dict(probes=True, zones=2)
+PROBING = dict(probes=True, zones=2)
 
 
 def probes(actions: list[api.Action]) -> list[bytes]:
@@ -365,35 +365,35 @@
 
 
 def asking(left: int = 3 * SECOND, **changes: object) -> tuple[Bench, list[bytes]]:
-    """A sidecar that has just taken request 1, and the members that it asked."""
-    b = Bench(settings(request_class(late_worth=0.5), **(ASKING | changes)), servers=0)
+    """Return a sidecar that has just received request 1, and the members that it probed."""
+    b = Bench(settings(request_class(late_worth=0.5), **(PROBING | changes)), servers=0)
     b.list_of(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
     return b, probes(b.give(api.Request(1, 0, 0, 0, b.now + left, 0, False)))
 
 
-def test_the_quickest_of_the_members_asked_gets_the_request() -> None:
-    """Own requests in flight tell a sparse sidecar nothing: a busy server looks as idle as the others."""
-    b, asked = asking()
-    assert len(asked) == 2 and all(e[0] % 2 == 0 for e in asked)
+def test_fastest_probed_member_gets_the_request() -> None:
+    """With little traffic, own requests in flight do not show a busy server: it looks as idle as others."""
+    b, probed = asking()
+    assert len(probed) == 2 and all(e[0] % 2 == 0 for e in probed)
     b.now += 5 * MS
-    assert not any(isinstance(a, api.Send) for a in b.give(api.Probed(asked[0], api.Outcome.OK, 9 * MS, ())))
-    [send] = b.give(api.Probed(asked[1], api.Outcome.OK, 2 * MS, ()))
-    assert isinstance(send, api.Send) and send.endpoint == asked[1]
+    assert not any(isinstance(a, api.Send) for a in b.give(api.Probed(probed[0], api.Outcome.OK, 9 * MS, ())))
+    [send] = b.give(api.Probed(probed[1], api.Outcome.OK, 2 * MS, ()))
+    assert isinstance(send, api.Send) and send.endpoint == probed[1]
 
 
-def test_silent_members_get_nothing_and_others_are_asked() -> None:
-    b, asked = asking()
+def test_silent_members_get_nothing_and_others_are_probed() -> None:
+    b, probed = asking()
     b.now += 20 * MS
     more = probes(b.give(api.Timer(2)))
-    assert more and not set(more) & set(asked)
-    assert {e[0] % 2 for e in more} == {0, 1}  # the other zone too, as nobody near is idle
+    assert more and not set(more) & set(probed)
+    assert {e[0] % 2 for e in more} == {0, 1}  # also in the other zone, as no local member is idle
     b.now += 5 * MS
     b.give(api.Probed(more[0], api.Outcome.OK, 3 * MS, ()))
     [send] = b.give(api.Timer(2))
     assert isinstance(send, api.Send) and send.endpoint == more[0]
 
 
-def test_asking_ends_and_the_request_is_sent_or_answered() -> None:
+def test_probing_ends_with_send_or_final_answer() -> None:
     b, _ = asking()
     for _ in range(8):
         b.now += 30 * MS
@@ -401,34 +401,34 @@
             break
     assert sends and b.now - START <= 250 * MS
     late, _ = asking()
-    late.now += 4 * SECOND  # a sidecar that stood still: its client has left
+    late.now += 4 * SECOND  # after a stall: the deadline has passed
     [final] = late.give(api.Timer(2))
     assert isinstance(final, api.Refuse)
 
 
-def test_nothing_is_held_that_a_stand_still_could_lose() -> None:
-    """A sidecar that stood still for two seconds once held two requests unsent until their clients left."""
-    b, asked = asking(left=2 * SECOND)
-    assert not asked and isinstance(b.actions[0], api.Send)
+def test_request_with_little_time_is_not_held_for_probes() -> None:
+    """During a stall of two seconds a sidecar had held two requests unsent past their deadlines."""
+    b, probed = asking(left=2 * SECOND)
+    assert not probed and isinstance(b.actions[0], api.Send)
 
 
-def test_a_member_that_drains_while_asked_gets_nothing() -> None:
-    b, asked = asking()
+def test_member_draining_during_probe_gets_nothing() -> None:
+    b, probed = asking()
     b.give(api.EndpointList(api.ListKind.DELTA, tuple(
-        endpoint(e[0], api.Health.DRAINING, zone=e[0] % 2) for e in asked
+        endpoint(e[0], api.Health.DRAINING, zone=e[0] % 2) for e in probed
     )))  # fmt: skip
-    actions = [a for e in asked for a in b.give(api.Probed(e, api.Outcome.OK, 2 * MS, ()))]
+    actions = [a for e in probed for a in b.give(api.Probed(e, api.Outcome.OK, 2 * MS, ()))]
     actions += b.give(api.Timer(2))
-    assert not any(isinstance(a, api.Send) and a.endpoint in asked for a in actions)
+    assert not any(isinstance(a, api.Send) and a.endpoint in probed for a in actions)
 
 
-def test_nobody_is_asked_where_peers_share_or_probes_are_not_allowed() -> None:
+def test_no_probes_with_peers_or_without_permission() -> None:
     for changes in ({"peers": True}, {"probes": False}):
         assert asking(**changes)[1] == []
 
 
-def test_traffic_crosses_by_the_difference_of_waits() -> None:
-    """With one zone at ten requests a server and the other at one, half the fleet once choked."""
+def test_crossing_follows_difference_of_waits() -> None:
+    """With ten requests per server in one zone and one in the other, half the fleet had been overloaded."""
     b, _ = asking(cross_price=0.1)
     b.balancer.zone_stats = [[6.0, 10.0, 10.0, 10.0], [0.0, 10.0, 10.0, 10.0]]
     b.balancer.adjust_cut_and_crossing(b.now + SECOND)
@@ -439,26 +439,26 @@
     assert b.balancer.crossing < risen
 
 
-def test_an_idle_endpoint_across_goes_before_a_busy_one_at_home() -> None:
-    """Six at home and two across, and ten requests at once: one each, then the less busy of both zones."""
+def test_idle_remote_endpoint_is_preferred_to_busy_local_one() -> None:
+    """Six local and two remote endpoints: one request each, then the less busy of both zones."""
     b = Bench(settings(zones=2, zone=0), servers=0)
     b.list_of(*(endpoint(n, zone=int(n > 6)) for n in range(1, 9)))
     sends = [b.sent() for _ in range(8)]
     assert [s.endpoint[0] > 6 for s in sends] == [False] * 6 + [True] * 2
     assert len({s.endpoint for s in sends}) == 8
     b.answer(sends[0])
-    assert b.sent().endpoint == sends[0].endpoint  # idle at home: nothing crosses
+    assert b.sent().endpoint == sends[0].endpoint  # an idle local endpoint: nothing crosses
     assert {b.sent().endpoint[0] > 6 for _ in range(20)} == {False, True}
 
 
-def test_an_idle_endpoint_across_is_not_worth_more_than_its_price() -> None:
+def test_idle_remote_endpoint_is_not_used_above_its_price() -> None:
     b = Bench(settings(zones=2, zone=0, cross_price=2.0), servers=0)
     b.list_of(*(endpoint(n, zone=int(n > 3)) for n in range(1, 7)))
     assert {b.sent().endpoint[0] > 3 for _ in range(12)} == {False}
 
 
-def test_all_sidecars_take_the_same_few_members_for_a_warm_key() -> None:
-    """A server that met a key does much less work for it; by sidecars' own subsets each met all keys."""
+def test_warm_key_has_same_few_members_in_all_sidecars() -> None:
+    """A server does less work for a key it served before; with separate subsets each server got all keys."""
     met: dict[int, set[bytes]] = {7: set(), 8: set(), 9: set()}
     for seed in range(12):
         b = Bench(settings(warm_keys=True, instance=seed, instances=12), servers=40, seed=seed)
@@ -470,8 +470,8 @@
     assert len(set.union(*met.values())) > engines.MEMBERS_PER_KEY
 
 
-def test_a_started_stream_is_the_clients() -> None:
-    """It has no deadline: it is no wait, and its break is not answered with another attempt."""
+def test_started_stream_is_no_longer_pending() -> None:
+    """A stream has no deadline: it counts as no wait, and is not retried when it breaks."""
     b = Bench(settings(request_class(late_worth=0.5)), servers=8)
     send = b.sent()
     assert b.give(api.StreamStarted(send.id)) == []
@@ -482,7 +482,7 @@
     assert b.balancer.flying == 0
 
 
-def test_a_zone_with_every_endpoint_out_is_left_for_the_other() -> None:
+def test_zone_with_all_endpoints_ejected_is_avoided() -> None:
     b = Bench(settings(max_attempts=1, zones=2, zone=0), servers=0)
     b.list_of(*(endpoint(n, zone=int(n > 3)) for n in range(1, 8)))
     home = {endpoint(n).id for n in range(1, 4)}
@@ -495,11 +495,11 @@
         b.answer(send, took=200 * MS)
     b.now += int(2 * engines.MIN_EJECTION_AIMS * b.balancer.aim)
     b.tick(0.25)
-    assert b.sent().endpoint in home  # their time out is over
+    assert b.sent().endpoint in home  # their ejection is over
 
 
-def test_an_endpoint_that_is_out_but_kept_is_no_idle_one() -> None:
-    """Four of six refuse connections: three are left out, and the fourth is never busy with our requests."""
+def test_ejected_member_kept_in_subset_is_not_idle() -> None:
+    """Four of six refuse connections: three are ejected, and the fourth is never busy."""
     b = Bench(settings(max_attempts=1), servers=6)
     dead = {endpoint(n).id for n in range(1, 5)}
     held: list[api.Send] = []
@@ -508,14 +508,14 @@
         if send.endpoint in dead:
             b.answer(send, api.Outcome.CONNECT_FAILED, MS)
         else:
-            held.append(send)  # while those that are up are busy, the dead ones draw
+            held.append(send)  # while the healthy ones are busy, the dead ones are chosen
         while len(held) > 2:
             b.answer(held.pop())
     for send in held:
         b.answer(send)
     assert len({m.id for m in b.balancer.engines.subset[0]} & dead) == 1
     for _ in range(2):
-        b.sent()  # the two that are up are busy
+        b.sent()  # both healthy ones are busy
     failed = 0
     for _ in range(40):
         send = b.sent()
@@ -525,8 +525,8 @@
     assert failed <= 10
 
 
-def test_failed_connects_bring_traffic_home() -> None:
-    """A zone that is cut off shows no waits: by their difference alone it would draw ever more."""
+def test_failed_connects_reduce_crossing() -> None:
+    """An unreachable zone shows no waits: by the difference of waits alone it would get ever more traffic."""
     b = Bench(settings(zones=2), servers=0)
     b.list_of(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
     b.balancer.crossing = 1.0
@@ -537,7 +537,7 @@
     assert b.balancer.crossing < 0.6
 
 
-def test_a_request_that_is_still_coming_is_no_evidence_of_a_wait_and_its_time_counts_from_its_end() -> None:
+def test_request_being_uploaded_counts_no_wait_until_complete() -> None:
     b = Bench(settings(request_class(late_worth=0.0), max_attempts=1))
     [sent] = b.give(api.Request(1, 0, 0, 0, b.now + 2 * SECOND, 0, False, True))
     assert isinstance(sent, api.Send)
@@ -547,10 +547,10 @@
     b.give(api.Uploaded(1, b.now + 2 * SECOND))
     for _ in range(3):
         b.tick()
-    assert b.balancer.pressure > 0  # from here on it does wait
+    assert b.balancer.pressure > 0  # now it waits
     [final] = b.give(api.Completed(1, 0, sent.endpoint, api.Outcome.TIMEOUT, SECOND, False, ()))
     assert isinstance(final, api.Refuse)
 
 
-def test_dear_probes_are_not_spent_on_asking() -> None:
+def test_expensive_probes_are_not_used() -> None:
     assert asking(probe_price=0.01)[1] and not asking(probe_price=0.08)[1]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""What all processes together send to one cold server, by a fed clock, against the load at which it falls."""
+"""The load of all processes on one cold server, by a manual clock, against the load at which it fails."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from tests.helpers import MS, SECOND, START, Bench, endpoint, request_class, settings
 
 FALL_MULTIPLE, FALL_WINDOW = 3.0, 3 * SECOND
-CAPACITY = 3.0  # requests a second that a warm server can do: its load here, so all of it is in use
+CAPACITY = 3.0  # requests a second of a warm server; the load here uses all of it
 COLD_FROM, COLD_FOR = 0.17, 24 * SECOND
 ANSWER = 50 * MS
-TICK = 250 * MS  # a cycle of the decisions, for the aim of 0.5 s
+TICK = 250 * MS  # a cycle of the decisions for an aim of 0.5 s
 
 
-def most(warmth: float) -> float:
-    """Requests in the window beyond which a cold server falls."""
+def max_requests(warmth: float) -> float:
+    """Return the number of requests in the window above which a cold server fails."""
     allowed = FALL_MULTIPLE * warmth * CAPACITY * FALL_WINDOW / SECOND
     return allowed + 2 * sqrt(allowed) + 2
 
 
 class Fleet:
-    """Balancers under one clock, their requests in turn, each send answered after a fixed time."""
+    """Balancers under one clock; each send is answered after a fixed time."""
 
     def __init__(self, processes: int, **changes: object) -> None:
         self.now = START
@@ -43,7 +43,7 @@
             self.plan(self.random.randrange(TICK), i, None)
 
     def plan(self, delay: int, process: int, send: api.Send | None) -> None:
-        """An answer, or without a send the timer of a process."""
+        """Schedule an answer to `send`, or the timer of a process if it is None."""
         self.number += 1
         heapq.heappush(self.due, (self.now + delay, self.number, process, send))
 
@@ -52,7 +52,7 @@
             bench.now = self.now
             bench.list_of(*entries, kind=kind)
 
-    def pass_to(self, until: int) -> None:
+    def run_until(self, until: int) -> None:
         while self.due and self.due[0][0] <= until:
             self.now, _, process, send = heapq.heappop(self.due)
             bench = self.benches[process]
@@ -65,39 +65,37 @@
         self.now = until
 
     def load(self, seconds: float, rate: float) -> None:
-        """Requests at random times, so many a second over all processes, each to a random one."""
+        """Give requests at random times, `rate` per second in all, each to a random process."""
         end = self.now + int(seconds * SECOND)
         while (at := self.now + int(self.random.expovariate(rate) * SECOND)) < end:
-            self.pass_to(at)
+            self.run_until(at)
             process = self.random.randrange(len(self.benches))
             bench = self.benches[process]
             bench.now = at
             if isinstance(send := bench.ask(), api.Send):
                 self.sends.append((at, send.endpoint))
                 self.plan(ANSWER, process, send)
-        self.pass_to(end)
+        self.run_until(end)
 
     def sent(self, server: int) -> list[int]:
         return [at for at, to in self.sends if to == server.to_bytes(6, "little")]
 
 
 def within_bound(sent: Sequence[int], started: int) -> bool:
-    """Whether no window that ends with a send held more than a server of that age then stands."""
+    """Whether each window that ends with a send contains no more than a server of that age can take."""
     for place, end in enumerate(sent):
         in_window = sum(at > end - FALL_WINDOW for at in sent[: place + 1])
-        age = max(0, end - FALL_WINDOW - started)  # at the window's start, so the least in it
-        if in_window > most(COLD_FROM + (1 - COLD_FROM) * min(1.0, age / COLD_FOR)):
+        age = max(0, end - FALL_WINDOW - started)  # at the start of the window: the lowest in it
+        if in_window > max_requests(COLD_FROM + (1 - COLD_FROM) * min(1.0, age / COLD_FOR)):
             return False
     return True
 
 
 @pytest.mark.parametrize(("processes", "servers"), [(2, 6), (20, 8), (30, 12), (30, 4), (230, 200)])
-def test_a_cold_server_gets_less_from_all_processes_than_that_at_which_it_falls(
-    processes: int, servers: int
-) -> None:
-    """Of P processes those S that have it in their subset earn, for each answer of a warm member, its warmth
-    over the warm members as credit, and spend one for a send. In a window T the sum is at most
-    `warmth * (answers of a warm server in T) + S`, and S only if all stood just below a whole credit."""
+def test_cold_server_load_from_all_processes_stays_below_fall_limit(processes: int, servers: int) -> None:
+    """The S of P processes that have the server in their subset earn its warmth divided by the number of warm
+    members as credit per answer of a warm member, and spend one per send. In a window T they send at most
+    `warmth * (answers of a warm server in T) + S`; the S only if all were just below a whole credit."""
     fleet = Fleet(processes)
     fleet.list_of(*(endpoint(n) for n in range(servers)))
     fleet.load(4, servers * CAPACITY)
@@ -110,8 +108,8 @@
     assert within_bound(sent, started), (len(sent), sent[:20])
 
 
-def test_credit_for_cold_servers_that_a_request_may_not_reach_is_not_spent_on_another() -> None:
-    """A zone is back cold, and crossing is worth its price to no request: then a server here restarts."""
+def test_credit_for_unreachable_cold_servers_is_not_spent_on_another() -> None:
+    """Another zone restarted and is cold, no request is worth crossing, and then a local server restarts."""
     fleet = Fleet(30, zones=2, cross_price=5.0)
     first = [endpoint(n) for n in range(6)]
     across = [endpoint(n, zone=1, started=fleet.now) for n in range(6, 12)]
@@ -125,9 +123,9 @@
     assert within_bound(sent, started), [(at - started) // MS for at in sent]
 
 
-def test_lists_that_come_often_earn_cold_servers_nothing() -> None:
-    """All have restarted. Each change of the list has the subset chosen anew, but the trickle is one by time:
-    `T / (2 mean aims)` a server and window, over all processes, and what the rounding of S credits adds."""
+def test_frequent_lists_earn_no_cold_credit() -> None:
+    """All servers have restarted. Each list change rebuilds the subset, but the trickle depends on time only:
+    `T / (2 mean aims)` per server and window over all processes, plus the rounding of S credits."""
     processes, servers = 4, 8
     fleet = Fleet(processes)
     started = fleet.now
@@ -135,16 +133,16 @@
     fleet.list_of(*listed)
     for _ in range(120):
         fleet.list_of(listed[0], kind=api.ListKind.DELTA)
-        fleet.load(0.05, 8 * servers * CAPACITY)  # clients that are refused come again
+        fleet.load(0.05, 8 * servers * CAPACITY)  # refused clients retry
     seconds = 120 * 0.05
     assert 0 < len(fleet.sends) <= servers * seconds + processes
     for n in range(servers):
         assert within_bound(fleet.sent(n), started), (n, len(fleet.sent(n)))
 
 
-def test_while_all_servers_are_warm_no_request_looks_at_each_of_them(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pick_cold_skips_search_while_all_are_warm(monkeypatch: pytest.MonkeyPatch) -> None:
     bench = Bench(settings(), servers=6)
-    bench.sent()  # the subset is chosen
+    bench.sent()  # builds the subset
     engines = bench.balancer.engines
-    monkeypatch.setattr(engines, "warmth", None)  # any use of it would be an error
+    monkeypatch.setattr(engines, "warmth", None)  # any call would raise
     assert engines.pick_cold(True, bench.now) is None
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,4 @@
-"""Customers other than the first, by settings alone: nothing is decided, nor read from a head, by a name."""
+"""Settings of several customers: names of classes, zones and tenants influence no decision and no head."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 Rename = Callable[[str], str]
 
 
-def least(value: Any) -> Any:
-    """A site gives ranges; a configuration is one draw from them."""
+def lower_bound(value: Any) -> Any:
+    """Return the lower bound where a site gives a range."""
     return value[0] if isinstance(value, list) else value
 
 
-def told(site: dict[str, Any], name: Rename) -> dict[str, Any]:
-    """A configuration as the platform writes it for a sidecar of this site, its names changed by `name`."""
+def platform_config(site: dict[str, Any], name: Rename) -> dict[str, Any]:
+    """Return the platform's configuration for a sidecar of this site, with names changed by `name`."""
     allow, conn, rules = site["allow"], site["tier"][0]["conn"], site["rules"]
     zones = [name(zone) for zone in site["net"]["zones"]]
     settings = {
@@ -63,12 +63,12 @@
 
 
 def configured(path: Path, name: Rename) -> config.Config:
-    return config.parse(json.loads(json.dumps(told(tomllib.loads(path.read_text()), name))))
+    return config.parse(json.loads(json.dumps(platform_config(tomllib.loads(path.read_text()), name))))
 
 
-def played(of: config.Config, seed: int) -> list[api.Action]:
-    """All actions over twenty seconds of a load that draws every kind of outcome."""
-    rng, balancer, now = random.Random(seed), Balancer(of.settings, of.seed), 50 * SECOND
+def actions_under_load(site_config: config.Config, seed: int) -> list[api.Action]:
+    """Return all actions over twenty seconds of load with random outcomes of every kind."""
+    rng, balancer, now = random.Random(seed), Balancer(site_config.settings, site_config.seed), 50 * SECOND
     due: list[tuple[int, int, api.Event]] = []
     actions: list[api.Action] = []
     number = 0
@@ -91,16 +91,16 @@
                     due.append((now + action.delay, number, api.Timer(action.token)))
 
     give(api.Attached())
-    give(api.EndpointList(api.ListKind.CACHED, tuple(host.endpoint for host in of.known.hosts)))
+    give(api.EndpointList(api.ListKind.CACHED, tuple(host.endpoint for host in site_config.known.hosts)))
     for rid in range(1, 1500):
         now += int(rng.expovariate(75) * SECOND)
         for at, order, event in sorted(due, key=lambda one: one[:2]):
             if at <= now:
                 due.remove((at, order, event))
                 give(event)
-        cls = rng.randrange(len(of.settings.classes))
-        tenant = rng.randrange(max(1, len(of.settings.tenants)))
-        left = of.settings.classes[cls].limit
+        cls = rng.randrange(len(site_config.settings.classes))
+        tenant = rng.randrange(max(1, len(site_config.settings.tenants)))
+        left = site_config.settings.classes[cls].limit
         give(api.Request(rid, cls, tenant, rng.getrandbits(60), now + left, 0, rng.random() < 0.1))
         if rng.random() < 0.05:
             give(api.Gone(rng.randint(1, rid)))
@@ -108,20 +108,20 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_names_change_no_decision(path: Path) -> None:
-    as_told, renamed = configured(path, str), configured(path, lambda name: f"zz-{name[::-1]}")
-    assert {c.name for c in as_told.settings.classes}.isdisjoint(c.name for c in renamed.settings.classes)
+def test_names_do_not_change_decisions(path: Path) -> None:
+    original, renamed = configured(path, str), configured(path, lambda name: f"zz-{name[::-1]}")
+    assert {c.name for c in original.settings.classes}.isdisjoint(c.name for c in renamed.settings.classes)
     for seed in range(3):
-        one = played(as_told, seed)
-        assert one == played(renamed, seed)
+        one = actions_under_load(original, seed)
+        assert one == actions_under_load(renamed, seed)
         kinds = {type(action) for action in one}
-        assert {api.Send, api.Refuse} <= kinds  # the stream reaches both ends of the path
-        assert api.Probe not in kinds or as_told.settings.probes
+        assert {api.Send, api.Refuse} <= kinds  # both sends and refusals occur
+        assert api.Probe not in kinds or original.settings.probes
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_names_change_no_head(path: Path) -> None:
-    """The head that goes on is the client's own, whatever it is called; method and key follow the effect."""
+def test_names_do_not_change_request_heads(path: Path) -> None:
+    """The forwarded head is the client's own for any name; method and key depend on the effect."""
     for name in (str, lambda text: f"zz-{text}-é"):
         settings = configured(path, name).settings
         for cls in settings.classes:
@@ -136,7 +136,7 @@
             assert incoming.tenant == max(0, len(settings.tenants) - 1)
 
 
-def test_the_customers_differ_in_what_the_program_could_have_taken_for_granted() -> None:
+def test_customer_sites_cover_different_settings() -> None:
     by_name = {path.stem: configured(path, str).settings for path in SITES}
     one, other = by_name["plain-zones"], by_name["unsafe-short"]
     assert one.zones != other.zones and bool(one.tenants) != bool(other.tenants)
--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -1,4 +1,4 @@
-"""The admission cut: levels, the histogram's steps, and the evidence that moves it."""
+"""The admission cut: levels, the histogram, and the wait statistics that move it."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
             b.answer(action)
 
 
-def test_mix_is_the_same_in_every_process() -> None:
-    assert mix(1) == 0x910A2DEC89025CC1  # splitmix64's first output for seed 1, as published
+def test_mix_matches_published_value() -> None:
+    assert mix(1) == 0x910A2DEC89025CC1  # first output of splitmix64 for seed 1, as published
 
 
-def test_business_beats_user_level_and_ties_go_to_the_user_level() -> None:
+def test_level_orders_by_business_then_user() -> None:
     b = bench()
     level, place = b.balancer.admission.level(0, api.Request(1, 0, 0, 7, 0, 0, False), b.now)
-    b.balancer.admission.cut = float(level + 1)  # just above this key's level: refused
+    b.balancer.admission.cut = float(level + 1)  # just above the level of this key: refused
     assert isinstance(b.ask(0, key=7), api.Refuse)
     b.balancer.admission.cut = float(level)
     assert isinstance(b.ask(0, key=7), api.Send)
-    b.balancer.admission.cut = float(USER_LEVELS)  # all of the low business level: the high one still passes
+    b.balancer.admission.cut = float(USER_LEVELS)  # above the low business level: the high one passes
     assert isinstance(b.ask(0, key=7), api.Refuse) and isinstance(b.ask(1, key=7), api.Send)
     assert 0 <= level < USER_LEVELS and place == 0.5
 
 
-def test_the_salt_changes_with_the_hour_and_is_alike_everywhere() -> None:
+def test_user_level_salt_changes_hourly_and_is_equal_in_all_sidecars() -> None:
     one, other = bench(instance=1, instances=9), bench(instance=2, instances=9)
     ask = [api.Request(1, 0, 0, key, 0, 0, False) for key in range(1, 40)]
     now = [one.balancer.admission.level(0, r, b.now)[0] for b in (one, other) for r in ask]
@@ -48,7 +48,7 @@
     assert now[:39] != [one.balancer.admission.level(0, r, one.now + HOUR)[0] for r in ask]
 
 
-def test_rise_sheds_the_share_by_the_histogram_of_keys() -> None:
+def test_raise_cut_sheds_share_of_keyed_requests() -> None:
     b = bench()
     feed(b, 0, 400, key=1000)
     b.balancer.admission.raise_cut(0.25)
@@ -56,7 +56,7 @@
     assert 80 <= refused <= 120
 
 
-def test_rise_takes_the_low_worth_first() -> None:
+def test_raise_cut_sheds_low_worth_first() -> None:
     b = bench()
     feed(b, 0, 50)
     feed(b, 1, 50)
@@ -64,7 +64,7 @@
     assert b.balancer.admission.cut == pytest.approx(USER_LEVELS, abs=1)
 
 
-def test_the_cut_never_sheds_all() -> None:
+def test_raise_cut_never_sheds_everything() -> None:
     b = bench()
     feed(b, 1, 50)
     for _ in range(50):
@@ -72,8 +72,8 @@
     assert b.balancer.admission.cut <= 2 * USER_LEVELS - (1 - MAX_SHED_SHARE) * USER_LEVELS + 1
 
 
-def test_easing_is_a_share_of_arrivals_and_at_least_one_level() -> None:
-    """A share of what still passes would keep a deep cut up for minutes."""
+def test_lower_cut_readmits_share_of_arrivals_and_at_least_one_level() -> None:
+    """A share of the passed requests instead would hold a deep cut up for minutes."""
     b = bench()
     feed(b, 0, 100)
     b.balancer.admission.cut = 120.0
@@ -83,14 +83,14 @@
     assert b.balancer.admission.cut == pytest.approx(120 - 12.8 - 1)
 
 
-def test_a_cycle_without_sends_descends() -> None:
+def test_cycle_without_sends_lowers_cut() -> None:
     b = bench()
     b.balancer.admission.cut = 50.0
     b.tick()
     assert b.balancer.admission.cut < 50
 
 
-def test_a_fleet_of_single_user_sidecars_sheds_smoothly() -> None:
+def test_fleet_of_keyless_sidecars_sheds_smoothly() -> None:
     """Without keys a sidecar has one user level; tenants must not put a third of the fleet on one level."""
     for tenants in ((), tuple(api.Tenant(n, 100.0) for n in "abc")):
         passed = []
@@ -115,29 +115,29 @@
 
 
 @pytest.mark.parametrize("aim", [125 * MS, 500 * MS])
-def test_a_cycle_goes_with_the_aims(aim: int) -> None:
-    """A queue that takes a whole aim to build is seen before it has built, whatever the aim."""
+def test_cycle_length_scales_with_aim(aim: int) -> None:
+    """A queue that builds over one aim is noticed before it is full, for any aim."""
     b = Bench(settings(request_class(aim=aim)))
     [timer] = [a for a in b.tick() if isinstance(a, api.SetTimer)]
     assert aim / 4 <= timer.delay < aim
 
 
-def test_time_outs_and_full_raise_the_cut() -> None:
+def test_timeouts_and_full_servers_raise_cut() -> None:
     for outcome in (api.Outcome.TIMEOUT, api.Outcome.FULL):
         b = bench()
         overloaded(b, outcome)
         assert b.balancer.admission.cut > 0, outcome
 
 
-def test_dead_or_erring_endpoints_are_no_evidence_of_load() -> None:
-    """With a fifth of the servers dead, failed connects once shed most of what the others could serve."""
+def test_failing_endpoints_do_not_raise_cut() -> None:
+    """With a fifth of the servers dead, failed connects had shed most of what the others could serve."""
     for outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.ERROR):
         b = bench(max_attempts=1)
         overloaded(b, outcome)
         assert b.balancer.admission.cut == 0, outcome
 
 
-def test_one_late_answer_moves_nobody() -> None:
+def test_single_late_answer_does_not_raise_cut() -> None:
     b = bench()
     feed(b, 0, 20)
     for _ in range(30):
@@ -147,8 +147,8 @@
     assert b.balancer.admission.cut == 0
 
 
-def test_a_wait_is_evidence_while_it_lasts() -> None:
-    """A queue that builds at once must show before its first late answer."""
+def test_waits_in_progress_raise_cut() -> None:
+    """A queue that builds suddenly must show before its first late answer."""
     b = bench()
     feed(b, 0, 20)
     b.tick()
@@ -159,7 +159,7 @@
     assert b.balancer.pressure > b.balancer.over and b.balancer.admission.cut > 0
 
 
-def test_a_start_in_overload_does_not_pass_for_the_latency_without_wait() -> None:
+def test_start_in_overload_is_not_taken_as_base_latency() -> None:
     b = bench()
     aim = b.config.classes[0].aim
     for _ in range(4):
@@ -171,15 +171,15 @@
     assert b.balancer.kinds[0].base < 0.3 * aim < b.balancer.kinds[0].mean
 
 
-def test_a_zone_of_its_own_that_the_settings_lack_ends_nothing() -> None:
+def test_own_zone_missing_in_settings_still_serves() -> None:
     b = bench(zones=1, zone=3)
     feed(b, 0, 20)
     b.tick()
     assert isinstance(b.ask(), api.Send)
 
 
-def test_waits_count_wherever_the_traffic_went() -> None:
-    """All servers of the own zone have just restarted and are cold: what waits across is the overload."""
+def test_waits_in_other_zones_raise_cut() -> None:
+    """All local servers have just restarted and are cold: waits in the other zone show the overload."""
     b = bench(zones=2)
     b.balancer.admission.spread[0] = 100.0
     b.balancer.zone_stats = [[0.0, 0.0, 0.0, 0.0], [20.0, 20.0, 20.0, 10.0]]
@@ -187,8 +187,8 @@
     assert b.balancer.pressure > b.balancer.over and b.balancer.admission.cut > 0
 
 
-def test_the_slow_service_of_a_cold_server_is_no_wait() -> None:
-    """Once many have restarted, their work takes longer though nothing waits there: that sheds nothing."""
+def test_slow_service_of_cold_servers_is_not_a_wait() -> None:
+    """After many restarts service takes longer without queues; that must not shed requests."""
     b = bench(cold_from=0.17, cold_for=24 * SECOND)
     started = b.now
     b.list_of(endpoint(1), *(endpoint(n, started=started) for n in range(2, 14)))
@@ -205,7 +205,7 @@
     assert b.balancer.kinds[0].mean == pytest.approx(50 * MS, rel=0.1)
 
 
-def test_a_time_out_at_a_cold_server_counts_by_its_warmth() -> None:
+def test_timeout_at_cold_server_counts_by_warmth() -> None:
     pressures = []
     for age in (1, 24):
         b = bench(cold_from=0.2, cold_for=24 * SECOND)
@@ -218,8 +218,8 @@
     assert 0 < pressures[0] < pressures[1] / 2
 
 
-def test_answers_that_outrun_sends_do_not_raise_the_cut_again() -> None:
-    """While queues drain, answers to old sends are late; each once raised the cut further."""
+def test_late_answers_while_draining_do_not_raise_cut_again() -> None:
+    """While queues drain, answers to old sends are late; each of them had raised the cut further."""
     b = bench()
     b.balancer.zone_stats[0] = [20.0, 20.0, 10.0, 20.0]
     b.balancer.admission.spread[0] = 100.0
@@ -230,7 +230,7 @@
     assert b.balancer.admission.cut > 0
 
 
-def test_peers_share_evidence_and_a_restarted_sidecar_takes_up_the_cut() -> None:
+def test_peers_share_statistics_and_restarted_sidecar_adopts_cut() -> None:
     old = bench(peers=True, instances=2, instance=0)
     new = bench(peers=True, instances=2, instance=1)
     for _ in range(5):
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"x" * 5, b"\xff" * 256, bytes(range(200))])
-def test_peer_bytes_of_any_content_are_passed_over(body: bytes) -> None:
+def test_invalid_peer_messages_are_ignored(body: bytes) -> None:
     b = bench(peers=True, instances=2)
     b.give(api.PeerMessage(1, body))
     size = balance.MESSAGE_HEADER.size + 2 * sum(map(len, b.balancer.pooled_rows()))
@@ -254,17 +254,18 @@
     assert isinstance(b.ask(), api.Send)
 
 
-def test_a_repeat_that_is_provably_too_late_is_refused() -> None:
-    """Its answer could earn nothing, and it would take work from requests that still count."""
+def test_repeat_too_late_to_count_is_refused() -> None:
+    """Its answer could not count, and it would take capacity from requests that still can."""
     b = bench()
     b.answer(b.sent(left=1500 * MS))
-    late = api.Request(900, 0, 0, 0, b.now + 1000 * MS, 0, True)  # a second of two has gone; the aim is half
+    # One of two seconds has passed; the aim is half a second.
+    late = api.Request(900, 0, 0, 0, b.now + 1000 * MS, 0, True)
     assert isinstance(b.give(late)[0], api.Refuse)
     first = api.Request(901, 0, 0, 0, b.now + 1000 * MS, 0, False)
     assert isinstance(b.give(first)[0], api.Send)
 
 
-def test_a_cycle_ends_by_count_as_well_as_by_time() -> None:
+def test_cycle_ends_after_maximum_number_of_sends() -> None:
     b = bench()
     for _ in range(balance.MAX_CYCLE_SENDS - 1):
         b.answer(b.sent())
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -1,4 +1,4 @@
-"""What was learned as a value: nothing is lost on the way, age takes away, nonsense harms nobody."""
+"""Export and restoration of learned state: nothing is lost, age decays it, invalid values are ignored."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 HOUR = 3600 * SECOND
 
 
-def lived(seed: int) -> Bench:
-    """A balancer that has seen some seconds of overload, failures and a dead server."""
+def overloaded_bench(seed: int) -> Bench:
+    """Return a balancer after some seconds of overload, failures and a dead server."""
     rng, b = random.Random(seed), Bench(settings(*CLASSES, max_attempts=2, zones=2), servers=8)
     for _ in range(300):
         b.now += rng.randrange(30 * MS)
@@ -39,23 +39,23 @@
 def successor(b: Bench, age: int, learned: api.Learned | None = None) -> Bench:
     new = Bench(b.config, servers=8, seed=7)
     new.now = b.now + age
-    told = msgspec.msgpack.encode(learned or b.balancer.learned(b.now))
-    assert new.give(api.Recalled(msgspec.msgpack.decode(told, type=api.Learned), age)) == []
+    exported = msgspec.msgpack.encode(learned or b.balancer.learned(b.now))
+    assert new.give(api.Recalled(msgspec.msgpack.decode(exported, type=api.Learned), age)) == []
     return new
 
 
 @examples(max_examples=25)
 @given(st.integers(0, 10_000))
-def test_what_was_learned_comes_through_whole(seed: int) -> None:
-    b = lived(seed)
-    told = b.balancer.learned(b.now)
-    assert successor(b, 0).balancer.learned(b.now) == told
+def test_learned_state_survives_export_and_restore(seed: int) -> None:
+    b = overloaded_bench(seed)
+    exported = b.balancer.learned(b.now)
+    assert successor(b, 0).balancer.learned(b.now) == exported
 
 
 @examples(max_examples=25)
 @given(st.integers(0, 100), st.lists(st.integers(0, HOUR), min_size=2, max_size=2).map(sorted))
-def test_the_older_it_is_the_less_of_it_holds(seed: int, ages: list[int]) -> None:
-    b = lived(seed)
+def test_restored_state_decays_with_age(seed: int, ages: list[int]) -> None:
+    b = overloaded_bench(seed)
     sooner, later = (successor(b, age) for age in ages)
     one, other = (new.balancer.learned(new.now) for new in (sooner, later))
     assert one.cut >= other.cut and one.peak >= other.peak and one.crossing >= other.crossing
@@ -70,21 +70,21 @@
     assert gone.admission.cut < 1 and not any(
         m.out_until > b.now + HOUR for m in gone.engines.members.values()
     )
-    assert gone.budget <= b.balancer.budget  # a restart brings no retries
+    assert gone.budget <= b.balancer.budget  # a restart gains no retries
 
 
-def test_nothing_holds_of_a_server_that_has_started_anew() -> None:
-    b = lived(5)
-    told = b.balancer.learned(b.now)
+def test_restored_state_ignores_restarted_servers() -> None:
+    b = overloaded_bench(5)
+    exported = b.balancer.learned(b.now)
     assert (
-        told.cut > 0
-        and any(e.ejected_for for e in told.engines)
-        and any(e.last_answer_age > 0 for e in told.engines)
+        exported.cut > 0
+        and any(e.ejected_for for e in exported.engines)
+        and any(e.last_answer_age > 0 for e in exported.engines)
     )
     new = Bench(b.config, servers=0)
     new.now = b.now
     new.list_of(*(endpoint(n + 1, started=b.now) for n in range(8)))
-    new.give(api.Recalled(told, 0))
+    new.give(api.Recalled(exported, 0))
     assert all(not m.last_answer_at and not m.out_until for m in new.balancer.engines.members.values())
 
 
@@ -107,8 +107,8 @@
 
 @examples(max_examples=50)
 @given(NONSENSE, st.integers(0, HOUR))
-def test_nonsense_leaves_every_figure_in_its_bounds(told: api.Learned, age: int) -> None:
-    b = successor(lived(1), age, told)
+def test_invalid_learned_values_leave_state_in_bounds(exported: api.Learned, age: int) -> None:
+    b = successor(overloaded_bench(1), age, exported)
     now = b.balancer.learned(b.now)
     assert 0 <= now.cut <= b.balancer.admission.top and 0 <= now.crossing <= 1 and 0 <= now.budget <= 5
     assert 0 <= now.peak <= 1e5 and all(0 <= x <= 2e9 for x in (*now.histogram.values(), *now.spread))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""The table of retries in `docs/retries.md`, cell by cell, against the decisions."""
+"""The decisions against each cell of the retry table in `docs/retries.md`."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
     return found
 
 
-def test_the_table_has_every_outcome_and_says_which_never_ran() -> None:
-    told = cells()
-    assert {outcome for outcome, *_ in told} == set(Outcome) - {Outcome.OK}
-    assert {outcome for outcome, never, *_ in told if never} == NEVER_RAN
+def test_retry_table_covers_every_outcome() -> None:
+    table = cells()
+    assert {outcome for outcome, *_ in table} == set(Outcome) - {Outcome.OK}
+    assert {outcome for outcome, never, *_ in table if never} == NEVER_RAN
 
 
 @pytest.mark.parametrize(("outcome", "never_ran", "effect", "rule"), cells())
 @pytest.mark.parametrize("overload", [False, True])
 @pytest.mark.parametrize("spent", [False, True])
-def test_what_is_sent_again(
+def test_retry_follows_table(
     outcome: Outcome, never_ran: bool, effect: Effect, rule: str, overload: bool, spent: bool
 ) -> None:
     b = Bench(settings(request_class(effect=effect, late_worth=0.5)), servers=8)
@@ -53,6 +53,6 @@
     if rule == "free" or (not spent and (rule == "always" or (rule == "calm" and not overload))):
         assert isinstance(action, api.Send) and action.endpoint != send.endpoint
     elif never_ran or effect == Effect.SAFE:
-        assert isinstance(action, api.Refuse)  # a repeat does no harm
+        assert isinstance(action, api.Refuse)  # a repeat is harmless
     else:
         assert isinstance(action, api.Fail)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal events, with an independent checker that holds the rules a single sidecar can break."""
+"""Random legal events with an independent checker of the rules that one sidecar can break."""
 
 from __future__ import annotations
 
@@ -19,27 +19,29 @@
 
 
 @dataclass
-class Owed:
+class OpenRequest:
+    """A request without a final answer, as the checker knows it."""
+
     cls: int
     expires: int
     attempts: int = 0
-    out: bytes | None = None
-    ran: tuple[bytes, int] | None = None  # where and when it may first have run
+    out: bytes | None = None  # endpoint of the attempt in flight
+    ran: tuple[bytes, int] | None = None  # endpoint and time of the first attempt that may have run
     sent: int = 0
 
 
 @dataclass
 class World:
-    """Plays the caller's part and checks every action against the rules."""
+    """Acts as the caller and checks every action against the rules."""
 
     config: api.Settings
     balancer: Balancer
     now: int = START
-    owed: dict[int, Owed] = field(default_factory=dict)
-    told: dict[bytes, tuple[int, int]] = field(default_factory=dict)  # health, and since when
+    owed: dict[int, OpenRequest] = field(default_factory=dict)
+    told: dict[bytes, tuple[int, int]] = field(default_factory=dict)  # health, and when it last changed
     where: dict[bytes, api.Endpoint] = field(default_factory=dict)
     answered: int = 0
-    probes: list[bytes] = field(default_factory=list)  # not answered yet
+    probes: list[bytes] = field(default_factory=list)  # without an answer yet
     timers: list[tuple[int, int]] = field(default_factory=list)
 
     def give(self, event: api.Event) -> None:
@@ -47,7 +49,7 @@
             if isinstance(action, api.Send):
                 self.check_send(action)
             elif isinstance(action, api.Refuse):
-                owed = self.owed.pop(action.id)  # a second final answer would find nothing
+                owed = self.owed.pop(action.id)  # a second final answer would raise here
                 assert owed.out is None
                 if owed.ran:
                     cls = self.config.classes[owed.cls]
@@ -67,8 +69,8 @@
                 assert action.delay > 0
                 self.timers.append((self.now + action.delay, action.token))
 
-    def ring(self) -> None:
-        """Timers that are due ring, all in one late batch if the sidecar stood still."""
+    def deliver_timers(self) -> None:
+        """Deliver the timers that are due; several at once after a stall."""
         due = sorted(t for t in self.timers if t[0] <= self.now)
         self.timers = [t for t in self.timers if t[0] > self.now]
         for _, token in due:
@@ -104,7 +106,7 @@
             del self.owed[rid]
         self.give(event)
 
-    def learn(self, kind: int, entries: list[api.Endpoint]) -> None:
+    def give_list(self, kind: int, entries: list[api.Endpoint]) -> None:
         for entry in entries:
             if entry.health != self.told.get(entry.id, (None, 0))[0]:
                 self.told[entry.id] = (entry.health, self.now)
@@ -120,14 +122,14 @@
         self.give(api.Probed(endpoint, outcome, MS, ()))
 
     def stop(self) -> None:
-        """Killed and started anew: all that it held is void."""
+        """Kill and restart the sidecar: its pending requests are lost."""
         self.owed, self.told, self.probes, self.timers = {}, {}, [], []
         self.balancer = Balancer(self.config, 5)
         self.give(api.Attached())
-        self.learn(api.ListKind.CACHED, list(self.where.values()))
+        self.give_list(api.ListKind.CACHED, list(self.where.values()))
 
     def expire(self) -> None:
-        """What is out at its deadline times out then, as a time-out never outlasts the client."""
+        """Time out attempts whose deadline has passed, as a timeout never exceeds the client's."""
         for rid, owed in list(self.owed.items()):
             if owed.expires <= self.now and owed.out:
                 self.complete(rid, Outcome.TIMEOUT)
@@ -188,14 +190,14 @@
 def play(config: api.Settings, steps: list[Any], seed: int = 3) -> World:
     world = World(config, Balancer(config, seed))
     world.give(api.Attached())
-    world.learn(api.ListKind.CACHED, [endpoint(n, zone=n % 2, cell=n % 4) for n in range(1, 9)])
+    world.give_list(api.ListKind.CACHED, [endpoint(n, zone=n % 2, cell=n % 4) for n in range(1, 9)])
     next_id = 1000
     for kind, a, b in steps:
         world.now += MS
         out = [rid for rid, owed in world.owed.items() if owed.out]
         if kind == "ask":
             cls = a % len(config.classes)
-            world.owed[next_id] = Owed(cls, world.now + b * MS)
+            world.owed[next_id] = OpenRequest(cls, world.now + b * MS)
             key = next_id if config.classes[cls].effect == Effect.KEYED else 0
             tenant = next_id % 2 if config.tenants else 0
             world.give(api.Request(next_id, cls, tenant, key, world.now + b * MS, 0, bool(next_id % 3 == 0)))
@@ -203,7 +205,7 @@
         elif kind == "answer" and out:
             world.complete(out[a % len(out)], b)
         elif kind == "list":
-            world.learn(a, list({e.id: e for e in b}.values()))
+            world.give_list(a, list({e.id: e for e in b}.values()))
         elif kind == "pass":
             world.now += a * MS
         elif kind == "gone" and out:
@@ -228,11 +230,11 @@
             world.give(api.EndpointList(api.ListKind.FAILED, ()))
         elif kind == "peer":
             world.give(api.PeerMessage(1, b))
-        elif kind == "stray":  # fits nothing that is held
+        elif kind == "stray":  # matches no pending request
             world.give(api.Completed(a, 0, a.to_bytes(6, "little"), b, MS, False, ()))
             world.give(api.Gone(a))
             world.give(api.Timer(77))
-        world.ring()
+        world.deliver_timers()
         world.expire()
         held = [owed for owed in world.owed.values() if not owed.out]
         assert not held or (config.probes and not config.peers), "held with nobody asked"
@@ -259,7 +261,7 @@
 
 
 @pytest.mark.parametrize("scope", [Scope.ZONE, Scope.CELL])
-def test_a_keyed_request_that_may_have_run_stays_in_its_group_and_window(scope: Scope) -> None:
+def test_keyed_retry_stays_in_group_and_window(scope: Scope) -> None:
     keyed = request_class(effect=Effect.KEYED, scope=scope, window=200 * MS, late_worth=0.5)
     b = Bench(settings(keyed, zones=2), servers=0)
     b.list_of(*(endpoint(n, zone=n % 2, cell=n % 4) for n in range(1, 17)))
@@ -274,10 +276,10 @@
             groups = 2 if scope == Scope.ZONE else 4
             assert action.endpoint[0] % groups == send.endpoint[0] % groups
         else:
-            assert isinstance(action, api.Fail)  # a refusal would promise that a repeat does no harm
+            assert isinstance(action, api.Fail)  # a refusal would promise that a repeat is harmless
 
 
-def test_retries_keep_to_a_budget_and_never_go_into_overload() -> None:
+def test_retries_respect_budget_and_overload() -> None:
     b = Bench(settings(request_class(late_worth=0.5)), servers=8)
     again = 0
     for _ in range(200):
@@ -289,7 +291,7 @@
     assert not any(isinstance(a, api.Send) for a in b.answer(b.sent(), Outcome.TIMEOUT))
 
 
-def test_every_endpoint_failing_still_answers_everything() -> None:
+def test_all_requests_get_final_answer_when_every_endpoint_fails() -> None:
     for outcome in (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.FULL, Outcome.RESET):
         config = settings(request_class(), request_class(effect=Effect.UNSAFE), cold_for=0, zones=2)
         steps: list[Any] = [("ask", i % 2, 2000) if i % 3 else ("answer", 0, outcome) for i in range(200)]
@@ -297,8 +299,8 @@
         assert not world.owed and world.answered > 50
 
 
-def test_a_repeat_stays_where_the_engine_that_may_have_run_it_was_when_it_was_sent() -> None:
-    """The list moves that engine to another cell meanwhile: either may be the one that drops repeats."""
+def test_keyed_retry_stays_in_group_of_engine_at_send_time() -> None:
+    """The list moves the engine to another cell in between: the group of either cell may drop repeats."""
     cls = request_class(effect=api.Effect.KEYED, scope=api.Scope.CELL)
     for cells, sent_again in (((1, 1), True), ((2, 1), False), ((2, 2), False)):
         bench = Bench(settings(cls), servers=0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings as typed values: what is wrong is told whole, by path, in one line."""
+"""The typed settings: an error lists all problems by path in one line."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from sprucenotch.node import config
 from tests.sidecar import configuration
 
-# A value that is wrong at its place, by path, and what its complaint has to say.
+# By path: an invalid value, and the text that its message must contain (empty: the value is valid).
 WRONG: dict[str, tuple[Any, str]] = {
     "listen": ("here", "an address"),
     "peers": (3, "a list of addresses"),
     "settings.Limits.MaxAttempts": (0, "a number of at least 1"),
-    "settings.Limits.Probes": (float("nan"), ""),  # a flag is never wrong
+    "settings.Limits.Probes": (float("nan"), ""),  # any value is a valid flag
     "settings.Rules": (7, "an object"),
     "settings.Deductions.Waste": (True, "a number of at least 0"),
     "settings.Categories[0].Effect": ("odd", "retryable, dedup or fragile"),
@@ -25,33 +25,33 @@
 }
 
 
-def put(told: Any, path: str, value: Any) -> None:
+def set_value(raw: Any, path: str, value: Any) -> None:
     *parts, last = path.replace("]", "").replace("[", ".").split(".")
     for part in parts:
-        told = told[int(part)] if isinstance(told, list) else told.setdefault(part, {})
-    told[last] = value
+        raw = raw[int(part)] if isinstance(raw, list) else raw.setdefault(part, {})
+    raw[last] = value
 
 
 @given(st.sets(st.sampled_from(sorted(WRONG))))
-def test_all_that_is_wrong_is_told_at_once_and_nothing_else(paths: set[str]) -> None:
-    told = json.loads(json.dumps(configuration("127.0.0.1:9")))
+def test_config_error_lists_exactly_all_problems(paths: set[str]) -> None:
+    raw = json.loads(json.dumps(configuration("127.0.0.1:9")))
     for path in paths:
-        put(told, path, WRONG[path][0])
+        set_value(raw, path, WRONG[path][0])
     wrong = {path for path in paths if WRONG[path][1]}
     if not wrong:
-        config.parse(told)
+        config.parse(raw)
         return
     with pytest.raises(config.ConfigError) as caught:
-        config.parse(told)
-    said = str(caught.value).split("; ")
-    assert {line.split(" ")[0] for line in said} == wrong
-    assert all(WRONG[line.split(" ")[0]][1] in line and "\n" not in line for line in said)
+        config.parse(raw)
+    messages = str(caught.value).split("; ")
+    assert {line.split(" ")[0] for line in messages} == wrong
+    assert all(WRONG[line.split(" ")[0]][1] in line and "\n" not in line for line in messages)
 
 
 @pytest.mark.parametrize("key", ["ConnectTimeoutNs", "ConnIdleNs", "MaxRetryAfterNs"])
-def test_a_limit_is_judged_where_it_is_gone_by(key: str) -> None:
-    told = json.loads(json.dumps(configuration("127.0.0.1:9")))
-    put(told, f"settings.Limits.{key}", -1)
-    put(told, "settings.Limits.RetryAfter", True)
+def test_limit_is_checked_where_it_is_used(key: str) -> None:
+    raw = json.loads(json.dumps(configuration("127.0.0.1:9")))
+    set_value(raw, f"settings.Limits.{key}", -1)
+    set_value(raw, "settings.Limits.RetryAfter", True)
     with pytest.raises(config.ConfigError, match=f"settings.Limits.{key} is -1"):
-        config.parse(told)
+        config.parse(raw)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against frames written by hand out of the wire's page."""
+"""The codec against hand-written frames of the protocol page."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 )
 
 
-def test_batch_of_the_page() -> None:
+def test_decode_sample_batch() -> None:
     size, now, count = wire.BATCH.unpack_from(SAMPLE_BATCH)
     assert (size, now, count) == (len(SAMPLE_BATCH), 0x1F568BF90, 3)
     events = list(wire.Decoder().events(SAMPLE_BATCH[16:], count))
@@ -44,7 +44,7 @@
     assert events[2] == (5, api.Gone(int.from_bytes(bytes.fromhex("192b6f0e625f0b00"), "little")))
 
 
-def test_reply_of_the_page() -> None:
+def test_encode_sample_reply() -> None:
     rid = int.from_bytes(bytes.fromhex("c4913a5dfa790900"), "little")
     actions: list[api.Action] = [
         api.Send(rid, bytes.fromhex("0a124a078b13"), 80_000_000),
@@ -54,7 +54,7 @@
     assert wire.frame([wire.encode(3, a) for a in actions]) == SAMPLE_REPLY
 
 
-def test_list_and_its_number_reused_in_one_batch() -> None:
+def test_decode_list_number_reused_in_batch() -> None:
     again = bytes.fromhex("10 0000 00000000  17 0400 04 0000 2a00000000000000")
     events = list(wire.Decoder().events(POOL_AND_SYNC + again, 4))
     instance, first = events[0]
@@ -64,7 +64,7 @@
     assert events[1] == (4, api.EndpointList(api.ListKind.FULL, ()))
 
 
-def test_completed_with_report() -> None:
+def test_decode_completed_with_report() -> None:
     raw = bytes.fromhex(
         "18 0300 c4913a5dfa790900 00 0a124a07 8b13 0000 a0491a0100000000 01 03 00000c43 00006841 52b81e3f"
     )
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "count", "said"),
+    ("raw", "count", "message"),
     [
         ("63 0300", 1, "unknown record code 99"),
         ("14 0300 4d00", 1, "truncated"),
@@ -88,8 +88,8 @@
         ("11 0300 0a9011f2b413 6300 c05c150000000000 00", 1, "outcome code 99"),
     ],
 )
-def test_malformed_records_are_refused(raw: str, count: int, said: str) -> None:
-    with pytest.raises(wire.WireError, match=said):
+def test_decode_malformed_record_raises(raw: str, count: int, message: str) -> None:
+    with pytest.raises(wire.WireError, match=message):
         list(wire.Decoder().events(bytes.fromhex(raw), count))
 
 
@@ -98,14 +98,14 @@
 }
 
 
-def test_settings_ignore_unknown_keys_and_live_without_optional_ones() -> None:
+def test_settings_ignore_unknown_keys_and_default_optional_ones() -> None:
     parsed = settings.decode(json.dumps(GOOD | {"Novel": [1]}).encode()).decisions()
     [cls] = parsed.classes
     assert (cls.effect, cls.scope, cls.worth, cls.late_worth) == (api.Effect.KEYED, api.Scope.CELL, 2, 0)
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "key"),
     [
         ({"Categories": []}, "Categories"),
         ({"Categories": [{"HardLimitNs": 9, "Effect": "dedup"}]}, "AimNs"),
@@ -116,8 +116,8 @@
         ({"NInstances": 0}, "NInstances"),
     ],
 )
-def test_settings_that_make_no_sense_name_the_key(change: dict[str, object], named: str) -> None:
-    with pytest.raises(settings.SettingsError, match=named):
+def test_invalid_settings_error_names_key(change: dict[str, object], key: str) -> None:
+    with pytest.raises(settings.SettingsError, match=key):
         settings.decode(json.dumps(GOOD | change).encode())
 
 
@@ -136,22 +136,22 @@
     return sink.getvalue()
 
 
-def test_an_empty_batch_gets_an_empty_reply() -> None:
+def test_host_answers_empty_batch_with_empty_reply() -> None:
     assert serve(batch()) == bytes.fromhex("00000000 08000000")
 
 
-def test_a_fault_becomes_die_with_its_cause_and_the_others_go_on() -> None:
+def test_host_reports_failed_instance_and_continues_others() -> None:
     stop = b"\x15\x03\x00"
     good = attach(3, json.dumps(GOOD).encode())
     reply = serve(batch(attach(2, b"{}"), good, stop, good))
     assert b"Categories" in reply and reply[8] == 25
-    assert wire.REPLY.unpack_from(reply)[0] == 3  # die, and a timer for each start of the other instance
+    assert wire.REPLY.unpack_from(reply)[0] == 3  # a failure, and a timer per start of the other instance
 
 
 @pytest.mark.parametrize(
     "raw", [b"\x05\x00\x00", b"\x05\0\0\0" + bytes(12), batch(b"\x63\0\0"), batch(b"\x14")[:-1]]
 )
-def test_a_malformed_frame_ends_the_host_with_one_plain_line(raw: bytes) -> None:
+def test_host_exits_with_one_line_on_malformed_frame(raw: bytes) -> None:
     run = subprocess.run(
         [sys.executable, "-m", "sprucenotch.sim.host"], input=raw, capture_output=True, check=False
     )
