--- a/sprucenotch/policy/admission.py
+++ b/sprucenotch/policy/admission.py
@@ -12,13 +12,13 @@
 MAX_SHED_SHARE = 0.9  # of all arrivals: without sends the load cannot be measured
 
 
-def remap_cut(cut: float, moved: Mapping[int, int]) -> float:
+def remap_cut(cut: float, new_levels: Mapping[int, int]) -> float:
     """Map a cut to renumbered business levels (old: new). 0 if no level at or above the cut is left."""
-    levels = sorted(moved)
+    levels = sorted(new_levels)
     at = next((b for b in levels if (b + 1) * USER_LEVELS > cut), None)
     if at is None and levels and (levels[-1] + 1) * USER_LEVELS == cut:
         at = levels[-1]  # the cut is above the highest level: everything is refused
-    return 0.0 if at is None or not cut else moved[at] * USER_LEVELS + max(0.0, cut - at * USER_LEVELS)
+    return 0.0 if at is None or not cut else new_levels[at] * USER_LEVELS + max(0.0, cut - at * USER_LEVELS)
 
 
 class Admission:
@@ -30,27 +30,29 @@
         self.histogram: dict[int, float] = {}
         self.spread: list[float] = []  # arrivals without a key, by business level; shared with peers
 
-    def apply_settings(self, settings: api.Settings, moved: Mapping[int, int], levels: int) -> None:
-        """Apply settings with `levels` business levels; `moved` maps each old level to its new number."""
+    def apply_settings(self, settings: api.Settings, new_levels: Mapping[int, int], levels: int) -> None:
+        """Apply settings with `levels` business levels; `new_levels` maps each old level to its new one."""
         self.instance, self.top = settings.instance, levels * USER_LEVELS
-        masses = [(*divmod(level, USER_LEVELS), mass) for level, mass in self.histogram.items()]
-        self.histogram = {moved[b] * USER_LEVELS + user: mass for b, user, mass in masses if b in moved}
+        counts = [(*divmod(level, USER_LEVELS), count) for level, count in self.histogram.items()]
+        self.histogram = {
+            new_levels[b] * USER_LEVELS + user: count for b, user, count in counts if b in new_levels
+        }
         spread, self.spread = self.spread, [0.0] * levels
-        for b, new in moved.items():
+        for b, new in new_levels.items():
             self.spread[new] += spread[b]
-        self.cut = remap_cut(self.cut, moved)
+        self.cut = remap_cut(self.cut, new_levels)
 
     def passes(self, business: int, event: api.Request, now: int) -> bool:
         """Count an arrival and return whether its level is at or above the cut."""
-        level, place = self.level(business, event, now)
-        return level + place >= self.cut
+        level, position = self.level(business, event, now)
+        return level + position >= self.cut
 
     def decay(self) -> None:
         """Decay the histogram at the end of a cycle."""
         self.histogram = {
-            lv: mass * HISTOGRAM_RETENTION for lv, mass in self.histogram.items() if mass > 0.02
+            level: count * HISTOGRAM_RETENTION for level, count in self.histogram.items() if count > 0.02
         }
-        self.spread = [mass * HISTOGRAM_RETENTION for mass in self.spread]
+        self.spread = [count * HISTOGRAM_RETENTION for count in self.spread]
 
     def level(self, business: int, event: api.Request, now: int) -> tuple[int, float]:
         """Return the request's level (business x 128 + user) and its fractional position in it, 0 to 1.
@@ -65,29 +67,33 @@
         # One sidecar sees few user levels of keyless requests, so they count as spread evenly over all.
         # A tenant is hashed with the sidecar's number: hashed alone, it would put much traffic on one level.
         self.spread[business] += 1
-        place = mix(self.instance ^ mix(event.tenant ^ salt))
-        return business * USER_LEVELS + place % USER_LEVELS, (place >> 7) / 2**57
+        tenant_hash = mix(self.instance ^ mix(event.tenant ^ salt))
+        return business * USER_LEVELS + tenant_hash % USER_LEVELS, (tenant_hash >> 7) / 2**57
 
     def segments(self) -> list[tuple[int, int, float]]:
         """Return the arrivals as (first level, number of levels, count), sorted by level."""
-        parts = [(level, 1, mass) for level, mass in self.histogram.items()]
-        return sorted(parts + [(b * USER_LEVELS, USER_LEVELS, mass) for b, mass in enumerate(self.spread)])
+        segments = [(level, 1, count) for level, count in self.histogram.items()]
+        return sorted(
+            segments + [(b * USER_LEVELS, USER_LEVELS, count) for b, count in enumerate(self.spread)]
+        )
 
     def raise_cut(self, share: float) -> None:
         """Raise the cut until it sheds this share of the requests that passed."""
-        parts = self.segments()
-        total = sum(mass for _, _, mass in parts)
-        passed = sum(mass * min(1.0, max(0.0, (at + width - self.cut) / width)) for at, width, mass in parts)
+        segments = self.segments()
+        total = sum(count for _, _, count in segments)
+        passed = sum(
+            count * min(1.0, max(0.0, (at + width - self.cut) / width)) for at, width, count in segments
+        )
         target = min(share * passed, passed - (1 - MAX_SHED_SHARE) * total)
-        for at, width, mass in parts:
+        for at, width, count in segments:
             low = max(self.cut, at)
-            left = mass * (at + width - low) / width
-            if left <= 1e-9:
+            remaining = count * (at + width - low) / width
+            if remaining <= 1e-9:
                 continue
-            if left >= target:
-                self.cut = low + max(0.0, target) * width / mass
+            if remaining >= target:
+                self.cut = low + max(0.0, target) * width / count
                 return
-            target -= left
+            target -= remaining
             self.cut = float(at + width)
 
     def lower_cut(self, share: float) -> None:
@@ -96,17 +102,17 @@
         A share of the passed requests, few after a deep cut, would hold the cut up for minutes while servers
         idle.
         """
-        parts = self.segments()
-        target = share * sum(mass for _, _, mass in parts)
+        segments = self.segments()
+        target = share * sum(count for _, _, count in segments)
         low = max(0.0, self.cut - 1)
-        for at, width, mass in reversed(parts):
+        for at, width, count in reversed(segments):
             high = min(self.cut, at + width)
-            left = mass * (high - at) / width
-            if left <= 1e-9:
+            remaining = count * (high - at) / width
+            if remaining <= 1e-9:
                 continue
-            if left >= target:
-                self.cut = min(low, high - target * width / mass)
+            if remaining >= target:
+                self.cut = min(low, high - target * width / count)
                 return
-            target -= left
+            target -= remaining
             self.cut = float(at)
         self.cut = 0.0
--- a/sprucenotch/policy/balance.py
+++ b/sprucenotch/policy/balance.py
@@ -61,7 +61,7 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.rand, self.sample = (rng := random.Random(seed)).random, rng.sample
         self.engines, self.admission = Engines(settings, rng), Admission(settings)
-        self.out: list[api.Action] = []
+        self.actions: list[api.Action] = []
         self.pending: dict[int, PendingRequest] = {}
         self.handlers = {
             api.Attached: self.on_attached, api.EndpointList: self.on_list, api.Request: self.on_request,
@@ -90,14 +90,14 @@
         """Apply settings. State of a class is kept by its name; the histogram and the cut are remapped."""
         self.settings, classes, old = settings, settings.classes, {s.cls.name: s for s in self.kinds}
         ranks = {worth: i for i, worth in enumerate(sorted({c.worth for c in classes}))}
-        moved = {old[c.name].business: ranks[c.worth] for c in reversed(classes) if c.name in old}
+        new_levels = {old[c.name].business: ranks[c.worth] for c in reversed(classes) if c.name in old}
         self.kinds = [old.get(c.name) or ClassState(c) for c in classes]
         for class_state, cls in zip(self.kinds, classes, strict=True):
             class_state.latency[0] *= class_state.cls.aim / cls.aim
             class_state.base = min(class_state.base, cls.aim * MAX_BASE_LATENCY)
             class_state.cls, class_state.business = cls, ranks[cls.worth]
         self.engines.apply_settings(settings)
-        self.admission.apply_settings(settings, moved, len(ranks))
+        self.admission.apply_settings(settings, new_levels, len(ranks))
         self.aim = self.engines.aim
         # Sidecars that share statistics shed in time; probing would then cost more than it gains.
         self.probing = (
@@ -110,16 +110,16 @@
         handler = self.handlers.get(type(event))
         if handler:
             handler(now, event)  # type: ignore[operator]
-        out, self.out = self.out, []
-        return out
+        actions, self.actions = self.actions, []
+        return actions
 
     # ---- list and drains ----------------------------------------------------------------------------------
 
     def on_attached(self, now: int, event: api.Attached) -> None:
         self.cycle_started_at = now
         if not self.subscribed:
-            self.out.append(api.SetTimer(1 + self.schedule.start(now, self.settings), DISCOVERY_TIMER))
-        self.out.append(api.SetTimer(1 + int(self.rand() * CYCLE_AIMS * self.aim), CYCLE_TIMER))
+            self.actions.append(api.SetTimer(1 + self.schedule.start(now, self.settings), DISCOVERY_TIMER))
+        self.actions.append(api.SetTimer(1 + int(self.rand() * CYCLE_AIMS * self.aim), CYCLE_TIMER))
 
     def on_list(self, now: int, event: api.EndpointList) -> None:
         if event.kind in (ListKind.FAILED, ListKind.SILENT):
@@ -135,7 +135,7 @@
         self.subscribed = not self.settings.discovery_on_request
         if not self.subscribed:
             pause = self.schedule.silent() if silent else self.schedule.failed(now, self.settings)
-            self.out.append(api.SetTimer(pause, DISCOVERY_TIMER))
+            self.actions.append(api.SetTimer(pause, DISCOVERY_TIMER))
 
     def on_discovery_moved(self, now: int, event: api.DiscoveryMoved) -> None:
         """Call the new address at once: its changes count as delivered soon after the move."""
@@ -151,12 +151,12 @@
     def call_discovery(self, now: int) -> None:
         if not self.subscribed:
             self.schedule.called(now)
-            self.out.append(api.Watch(True))
+            self.actions.append(api.Watch(True))
 
     def learned(self, now: int) -> api.Learned:
         """Return the learned state for a later process."""
-        known = export(now, self.engines, self.kinds, self.admission)
-        return structs.replace(known, crossing=self.crossing, budget=self.budget)
+        state = export(now, self.engines, self.kinds, self.admission)
+        return structs.replace(state, crossing=self.crossing, budget=self.budget)
 
     def on_recalled(self, now: int, event: api.Recalled) -> None:
         """Restore the state of an earlier process. The retry budget is restored too: a restart gains none."""
@@ -183,11 +183,11 @@
             self.engines.refill(now)
         if request.probe_rounds >= MAX_PROBE_ROUNDS or request.expires - now < MAX_STALL:
             return False
-        far = self.may_cross(request.cls) and (request.probe_rounds > 0 or self.rand() < self.crossing)
+        cross = self.may_cross(request.cls) and (request.probe_rounds > 0 or self.rand() < self.crossing)
         if not request.probe_rounds and (cold := self.engines.pick_cold(self.may_cross(request.cls), now)):
             self.launch(request, cold, now)
             return True
-        for side in (0, 1) if far and request.probe_rounds else (int(far),):
+        for side in (0, 1) if cross and request.probe_rounds else (int(cross),):
             members = self.engines.candidates(side, request, now)
             drawn = self.sample(members, min(2 * PROBES_PER_ROUND, len(members)))
             for member in sorted(
@@ -195,15 +195,15 @@
             )[:PROBES_PER_ROUND]:
                 if member.id not in self.waiting_for_probe:
                     self.waiting_for_probe[member.id] = []
-                    self.out.append(api.Probe(member.id))
+                    self.actions.append(api.Probe(member.id))
                 self.waiting_for_probe[member.id].append(request.id)
                 request.probed.append(member)
                 request.open_probes += 1
         if not request.probed:
             return False
         request.probe_rounds += 1
-        wait = PROBE_TIMEOUT_TICKS * self.settings.tick + self.fastest_probe[far]
-        self.out.append(api.SetTimer(wait, request.id + 1))
+        wait = PROBE_TIMEOUT_TICKS * self.settings.tick + self.fastest_probe[cross]
+        self.actions.append(api.SetTimer(wait, request.id + 1))
         return True
 
     def on_probed(self, now: int, event: api.Probed) -> None:
@@ -211,22 +211,26 @@
         member = self.engines.members.get(event.endpoint)
         if member is None:
             return
-        far, ok = member.zone != self.settings.zone, event.outcome == Outcome.OK
+        is_remote, ok = member.zone != self.settings.zone, event.outcome == Outcome.OK
         if ok:
-            self.fastest_probe[far] = min(self.fastest_probe[far] or event.took, event.took)
+            self.fastest_probe[is_remote] = min(self.fastest_probe[is_remote] or event.took, event.took)
         for rid in waiting:
             request = self.pending.get(rid)
             if request is None or request.attempts:
                 continue
             request.open_probes -= 1
             if ok and request.fastest is None:  # compare it with other answers of this tick
-                self.out.append(api.SetTimer(1, rid + 1))
+                self.actions.append(api.SetTimer(1, rid + 1))
             if (
                 ok
-                and event.took - self.fastest_probe[far]
+                and event.took - self.fastest_probe[is_remote]
                 < request.fastest_took - self.fastest_probe[request.fastest_is_remote]
             ):
-                request.fastest, request.fastest_took, request.fastest_is_remote = member, event.took, far
+                request.fastest, request.fastest_took, request.fastest_is_remote = (
+                    member,
+                    event.took,
+                    is_remote,
+                )
             if not request.open_probes and request.fastest is not None:
                 self.send_or_probe_again(request, now)
 
@@ -286,9 +290,9 @@
 
     def record_wait(self, member: Member, request: PendingRequest, wait: float) -> None:
         """Add the not yet recorded part of an attempt's wait to the zone's statistics."""
-        evidence = self.zone_stats[member.zone]
-        evidence[WAIT_SUM] += wait - request.recorded_wait
-        evidence[WAIT_COUNT] += not request.recorded_wait
+        stats = self.zone_stats[member.zone]
+        stats[WAIT_SUM] += wait - request.recorded_wait
+        stats[WAIT_COUNT] += not request.recorded_wait
         request.recorded_wait = wait
 
     # ---- cycles and the cut -------------------------------------------------------------------------------
@@ -302,7 +306,7 @@
             if request is not None and not request.attempts:
                 self.send_or_probe_again(request, now)
             return
-        self.out.append(api.SetTimer(int(CYCLE_AIMS * self.aim), CYCLE_TIMER))
+        self.actions.append(api.SetTimer(int(CYCLE_AIMS * self.aim), CYCLE_TIMER))
         self.engines.peak *= PEAK_RETENTION
         if self.pressure <= self.over:  # in overload new connections would add to the load
             self.engines.peak = max(self.flying, self.engines.peak)
@@ -315,20 +319,20 @@
             member, aim = request.member, request.cls.aim
             if member and not request.uploading:
                 base = min(request.class_state.base or aim * DEFAULT_BASE_LATENCY, aim * MAX_BASE_LATENCY)
-                lasted = (now - request.sent_at) * self.engines.warmth(member, request.sent_at)
-                wait = min(1.0, (lasted - base) / (aim - base))
+                elapsed = (now - request.sent_at) * self.engines.warmth(member, request.sent_at)
+                wait = min(1.0, (elapsed - base) / (aim - base))
                 if wait > self.over and wait > request.recorded_wait:
                     self.record_wait(member, request, wait)
-        enough = MIN_SAMPLES_POOLED if self.settings.peers else MIN_SAMPLES
-        seen = sum(e[WAIT_COUNT] for e in self.zone_stats)
-        if self.sends and seen < enough and now - self.cycle_started_at < MAX_CYCLE_AIMS * self.aim:
+        min_samples = MIN_SAMPLES_POOLED if self.settings.peers else MIN_SAMPLES
+        samples = sum(e[WAIT_COUNT] for e in self.zone_stats)
+        if self.sends and samples < min_samples and now - self.cycle_started_at < MAX_CYCLE_AIMS * self.aim:
             self.share_with_peers()
             return
         self.adjust_cut_and_crossing(now)
         self.admission.decay()
         for class_state in self.kinds:
             (total, count), aim = class_state.latency, class_state.cls.aim
-            if count >= enough:
+            if count >= min_samples:
                 class_state.mean = mean = total / count * aim
                 # A mean of few answers may be too low, and so its minimum: hence pooled over some seconds.
                 class_state.base = min(
@@ -342,7 +346,7 @@
             self.over = MIN_OVERLOAD_WAIT + OVERLOAD_SERVICE_TIMES * min(
                 MAX_SERVICE_SHARE, sum(shares) / len(shares)
             )
-        keep = min(MAX_POOL_RETENTION, max(MIN_POOL_RETENTION, 1 - seen / FULL_POOL_SAMPLES))
+        keep = min(MAX_POOL_RETENTION, max(MIN_POOL_RETENTION, 1 - samples / FULL_POOL_SAMPLES))
         self.zone_stats = [[x * keep for x in e] for e in self.zone_stats]
         self.share_with_peers()
         self.sends, self.cycle_started_at = 0, now
@@ -350,8 +354,8 @@
 
     def zone_load(self, *zones: int) -> tuple[float, float]:
         """Return the mean wait / slack and the answers per send of the servers in these zones."""
-        waits, seen, sent, done = (sum(self.zone_stats[z][i] for z in zones) for i in range(4))
-        return (waits / seen if seen > 0.5 else 0.0), (done / sent if sent > 0.5 else 1.0)
+        wait_sum, wait_count, sends, answers = (sum(self.zone_stats[z][i] for z in zones) for i in range(4))
+        return (wait_sum / wait_count if wait_count > 0.5 else 0.0), (answers / sends if sends > 0.5 else 1.0)
 
     def adjust_cut_and_crossing(self, now: int) -> None:
         """Adjust the share of requests that crosses zones, and then the cut."""
@@ -363,25 +367,25 @@
         # If other zones have shorter waits, traffic crosses before any is shed, in proportion to the
         # difference, and returns as the waits become equal. Scaled by time, as cycles differ in length.
         if self.engines.order[1]:
-            ahead = max(-0.5, min(2.0, (local - remote - self.settings.cross_price) / self.over))
-            step = CROSSING_STEP * (now - self.cycle_started_at) / (CYCLE_AIMS * self.aim) * ahead
+            difference = max(-0.5, min(2.0, (local - remote - self.settings.cross_price) / self.over))
+            step = CROSSING_STEP * (now - self.cycle_started_at) / (CYCLE_AIMS * self.aim) * difference
             self.crossing = min(1.0, max(0.0, self.crossing + step))
         if self.pressure > self.over:
             # Overloaded servers still finish requests at their capacity. Send that rate, less a part to drain
             # their queues. Late answers to sends from before the last rise must not raise the cut again.
-            fitting = rate * (1 - DRAIN_SHARE * min(2.0, self.pressure))
-            if fitting < 1 - MIN_CUT_RISE:
-                share = min(MAX_CUT_RISE, 1 - fitting)
+            sustainable = rate * (1 - DRAIN_SHARE * min(2.0, self.pressure))
+            if sustainable < 1 - MIN_CUT_RISE:
+                share = min(MAX_CUT_RISE, 1 - sustainable)
                 self.admission.raise_cut(share)
                 self.calm_cycles = 0
-                for evidence in self.zone_stats:  # as if the new cut had applied to them
-                    evidence[SEND_COUNT] *= 1 - share
+                for stats in self.zone_stats:  # as if the new cut had applied to them
+                    stats[SEND_COUNT] *= 1 - share
         elif self.admission.cut > 0:
             # Some overloads sustain themselves until the load is low, so the first steps are small; they grow
             # with the number of cycles without overload.
             self.calm_cycles = min(self.calm_cycles + 1, CUT_DROP_RAMP_CYCLES)
-            calm = (1 - max(0.0, self.pressure) / self.over) * self.calm_cycles / CUT_DROP_RAMP_CYCLES
-            self.admission.lower_cut(MIN_CUT_DROP + (MAX_CUT_DROP - MIN_CUT_DROP) * calm)
+            ramp = (1 - max(0.0, self.pressure) / self.over) * self.calm_cycles / CUT_DROP_RAMP_CYCLES
+            self.admission.lower_cut(MIN_CUT_DROP + (MAX_CUT_DROP - MIN_CUT_DROP) * ramp)
 
     def pooled_rows(self) -> list[list[float]]:
         """Return the values shared with peers, in the order of their messages."""
@@ -394,14 +398,14 @@
             return
         for row in self.pooled_rows():
             row[:] = [min(x / (1 + PEERS_PER_CYCLE), MAX_SHARED_VALUE) for x in row]
-        told = [x for row in self.pooled_rows() for x in row]
+        values = [x for row in self.pooled_rows() for x in row]
         body = MESSAGE_HEADER.pack(
             settings.zone, self.admission.cut if self.cycles >= MIN_CYCLES_TO_SHARE_CUT else -1.0
         )
-        body += pack(f"<{len(told)}e", *told)
+        body += pack(f"<{len(values)}e", *values)
         for _ in range(PEERS_PER_CYCLE):
             peer = int(self.rand() * (settings.instances - 1))
-            self.out.append(api.Tell(peer + (peer >= settings.instance), body))
+            self.actions.append(api.Tell(peer + (peer >= settings.instance), body))
 
     def on_peer(self, now: int, event: api.PeerMessage) -> None:
         body, rows = event.body, self.pooled_rows()
@@ -409,16 +413,16 @@
         if len(body) != MESSAGE_HEADER.size + 2 * count:
             return
         zone, cut = MESSAGE_HEADER.unpack_from(body)
-        told = iter(unpack_from(f"<{count}e", body, MESSAGE_HEADER.size))
-        heard = [[next(told) for _ in row] for row in rows]
+        values = iter(unpack_from(f"<{count}e", body, MESSAGE_HEADER.size))
+        received = [[next(values) for _ in row] for row in rows]
         zones = len(self.zone_stats)
-        sound = all(abs(e[WAIT_SUM]) <= 2.01 * e[WAIT_COUNT] for e in heard[:zones])
-        if not (sound and -1 <= cut <= self.admission.top):
+        valid = all(abs(e[WAIT_SUM]) <= 2.01 * e[WAIT_COUNT] for e in received[:zones])
+        if not (valid and -1 <= cut <= self.admission.top):
             return  # not a message of this version
-        if not all(0 <= x <= MAX_SHARED_VALUE for i, row in enumerate(heard) for x in row[i < zones :]):
+        if not all(0 <= x <= MAX_SHARED_VALUE for i, row in enumerate(received) for x in row[i < zones :]):
             return
-        for row, more in zip(rows, heard, strict=True):
-            row[:] = [x + y for x, y in zip(row, more, strict=True)]
+        for row, received_row in zip(rows, received, strict=True):
+            row[:] = [x + y for x, y in zip(row, received_row, strict=True)]
         if zone == self.settings.zone and cut >= 0:  # a restarted sidecar adopts the fleet's cut
             self.admission.cut += (PEER_CUT_WEIGHT if self.cycles >= MIN_CYCLES_TO_SHARE_CUT else 1.0) * (
                 cut - self.admission.cut
@@ -450,21 +454,21 @@
             request.arrived_at = request.sent_at = now
 
     def is_useless_repeat(self, event: api.Request, class_state: ClassState, now: int) -> bool:
-        """Whether this repeat comes too late, by the time left until its deadline, for an answer to count."""
-        cls, left = class_state.cls, event.expires - now
+        """Whether this repeat comes too late, by the time until its deadline, for an answer to count."""
+        cls, time_left = class_state.cls, event.expires - now
         if not event.repeat:
-            class_state.longest_try = max(class_state.longest_try, left)
+            class_state.longest_try = max(class_state.longest_try, time_left)
             return False
-        return not cls.late_worth and left < class_state.longest_try and cls.limit - left >= cls.aim
+        return not cls.late_worth and time_left < class_state.longest_try and cls.limit - time_left >= cls.aim
 
     def send(self, request: PendingRequest, now: int) -> None:
         if self.engines.subset_stale:
             self.engines.refill(now)
-        far = self.may_cross(request.cls)
-        side = int(far and self.rand() < self.crossing)
+        can_cross = self.may_cross(request.cls)
+        side = int(can_cross and self.rand() < self.crossing)
         first = not request.attempts and not request.probe_rounds
-        member = self.engines.pick_cold(far, now) if first else None
-        member = member or self.engines.pick(side, far, request, now)
+        member = self.engines.pick_cold(can_cross, now) if first else None
+        member = member or self.engines.pick(side, can_cross, request, now)
         if member is not None:
             self.launch(request, member, now)
         else:
@@ -479,18 +483,18 @@
         self.zone_stats[member.zone][SEND_COUNT] += 1
         repeat = request.first_run_member is not None and request.cls.effect == Effect.KEYED
         before = request.first_run_at + request.cls.window if repeat else 0
-        self.out.append(api.Send(request.id, member.id, self.attempt_timeout(request, now), before))
+        self.actions.append(api.Send(request.id, member.id, self.attempt_timeout(request, now), before))
         if self.sends % MAX_CYCLE_SENDS == 0:
             self.run_cycle(now)
 
     def attempt_timeout(self, request: PendingRequest, now: int) -> int:
         """Return the timeout of this attempt in nanoseconds; 0: until the client gives up."""
         cls = request.cls
-        left = request.arrived_at + cls.aim - now
+        time_to_aim = request.arrived_at + cls.aim - now
         # Members that answered a probe but are late have a queue of requests held beyond the aim.
-        brief = not cls.late_worth or (self.probing and self.pressure > self.over / 2)
-        if brief and 0 < left < request.expires - now:
-            return left
+        limit_to_aim = not cls.late_worth or (self.probing and self.pressure > self.over / 2)
+        if limit_to_aim and 0 < time_to_aim < request.expires - now:
+            return time_to_aim
         return 0
 
     def on_completed(self, now: int, event: api.Completed) -> None:
@@ -524,9 +528,9 @@
             # If no answer can count any more, advise the client to stay away for the rest of its time.
             late = not cls.late_worth and now >= request.arrived_at + cls.aim
             advice = min(cls.limit if late else RETRY_AFTER, self.settings.retry_after_max)
-            self.out.append(api.Refuse(request.id, advice, why))
+            self.actions.append(api.Refuse(request.id, advice, why))
         else:
-            self.out.append(api.Fail(request.id, why))
+            self.actions.append(api.Fail(request.id, why))
 
     def on_gone(self, now: int, event: api.Gone | api.StreamStarted) -> None:
         """The client left, or a stream started: a stream has no deadline and is never sent again."""
--- a/sprucenotch/policy/engines.py
+++ b/sprucenotch/policy/engines.py
@@ -119,12 +119,12 @@
         size = self.subset_size()
         for side in (0, 1):
             subset: list[Member] = []
-            out, filled, most_out = 0, 0.0, MAX_EJECTED_SHARE * min(size, len(self.order[side]))
+            ejected, filled, max_ejected = 0, 0.0, MAX_EJECTED_SHARE * min(size, len(self.order[side]))
             for member in self.order[side]:
                 if filled >= size:
                     break
-                if member.out_until > now and out + 1 <= most_out:
-                    out += 1
+                if member.out_until > now and ejected + 1 <= max_ejected:
+                    ejected += 1
                 else:
                     subset.append(member)
                     filled += self.warmth(member, now)  # a cold member counts as a part of one
@@ -140,8 +140,12 @@
 
     def warmth(self, member: Member, now: int) -> float:
         """Return the minimum share of its full capacity that an endpoint has, by the time since its start."""
-        age, least, span = now - member.warm_from, self.settings.cold_from, self.settings.cold_for
-        return 1.0 if not member.warm_from or age >= span else least + (1 - least) * max(age, 0) / span
+        age, minimum, duration = now - member.warm_from, self.settings.cold_from, self.settings.cold_for
+        return (
+            1.0
+            if not member.warm_from or age >= duration
+            else minimum + (1 - minimum) * max(age, 0) / duration
+        )
 
     def expected_time(self, member: Member, class_state: ClassState, now: int) -> float:
         """Return the expected time of a request there; a failure counts as the whole aim.
@@ -162,25 +166,29 @@
         `side` is 0 for this zone, 1 for others. A warm key has the same few members in every sidecar.
         """
         cls, key = request.cls, request.key if self.settings.warm_keys else 0
-        ran, scope = request.first_run_member if cls.effect == Effect.KEYED else None, cls.scope
-        then = request.first_run_location  # a repeat stays in the group of then as well as that of now
+        first, scope = request.first_run_member if cls.effect == Effect.KEYED else None, cls.scope
+        # A repeat has to stay in the group by the current list as well as by the list of that time.
+        location = request.first_run_location
         members = [
             m for m in (self.order if key else self.subset)[side]
             if m is not request.member and m not in request.probed and self.warmth(m, now) >= 1
-            and (ran is None or (same_dedup_group(m, ran, scope) and same_dedup_group(m, then, scope)))
+            and (
+                first is None
+                or (same_dedup_group(m, first, scope) and same_dedup_group(m, location, scope))
+            )
             and (not key or m.out_until <= now)
         ]  # fmt: skip
         if key:
             members = nsmallest(MEMBERS_PER_KEY, members, key=lambda m: mix(m.id_hash ^ key))
         return [m for m in members if is_idle(m, now)] or members
 
-    def pick(self, side: int, far: bool, request: PendingRequest, now: int) -> Member | None:
+    def pick(self, side: int, can_cross: bool, request: PendingRequest, now: int) -> Member | None:
         """Return the fastest idle member, else the less busy of two random ones; None if there is none.
 
-        With `far`, an idle member on the other side goes before a busy one on this side.
+        With `can_cross`, an idle member on the other side goes before a busy one on this side.
         """
         members = self.candidates(side, request, now)
-        if far and not (members and is_idle(members[0], now)):
+        if can_cross and not (members and is_idle(members[0], now)):
             others = self.candidates(1 - side, request, now)
             members = others if others and is_idle(others[0], now) else members + others
         if not members:
@@ -194,7 +202,7 @@
             drawn, key=lambda m: (m.out_until > now, m.inflight, self.expected_time(m, state, now), rand())
         )
 
-    def pick_cold(self, far: bool, now: int) -> Member | None:
+    def pick_cold(self, can_cross: bool, now: int) -> Member | None:
         """Return a cold endpoint if the credit allows a send to one.
 
         Each answer of a warm member earns the warmth of the cold ones as credit, so all sidecars together
@@ -210,7 +218,7 @@
             return None
         [member] = self.choices(cold, weights=[self.warmth(m, now) for m in cold])
         self.cold_credit -= not member.inflight
-        allowed = far or member.zone == self.settings.zone
+        allowed = can_cross or member.zone == self.settings.zone
         return member if allowed and not member.inflight else None
 
     def record_success(self, member: Member, now: int) -> None:
@@ -227,7 +235,7 @@
             return
         member.consecutive_failures, member.last_failure_at = member.consecutive_failures + 1, now
         if member.consecutive_failures >= FAILURES_TO_EJECT and member.out_until <= now:
-            away = min(MIN_EJECTION_AIMS * 2 ** min(member.ejections, 8), MAX_EJECTION_AIMS) * self.aim
-            member.out_until = now + int(away * (0.75 + self.rand() / 2))
+            duration = min(MIN_EJECTION_AIMS * 2 ** min(member.ejections, 8), MAX_EJECTION_AIMS) * self.aim
+            member.out_until = now + int(duration * (0.75 + self.rand() / 2))
             member.ejections += 1
             self.subset_stale = True
--- a/sprucenotch/policy/learned.py
+++ b/sprucenotch/policy/learned.py
@@ -48,61 +48,65 @@
 def restore(now: int, age: int, learned: api.Learned, engines: Engines, class_states: Sequence[ClassState],
             admission: Admission) -> None:  # fmt: skip
     """Restore a state exported `age` ago. Values that this process has already learned itself are kept."""
-    for known in learned.engines:
-        member = engines.members.get(known.id)
-        if member is not None and member.started == known.started and not member.last_answer_at:
-            restore_engine(now, age, known, member, engines.aim)
+    for saved in learned.engines:
+        member = engines.members.get(saved.id)
+        if member is not None and member.started == saved.started and not member.last_answer_at:
+            restore_engine(now, age, saved, member, engines.aim)
     cycles = age / (CYCLE_AIMS * engines.aim)
-    by_name = {known.name: known for known in learned.classes}
+    by_name = {saved.name: saved for saved in learned.classes}
     for class_state in class_states:
         if (old := by_name.get(class_state.cls.name)) is not None and old.aim > 0:
             restore_class(class_state, old, age, engines.aim)
     # Business levels are mapped by class name, as at a change of the settings.
-    moved = {by_name[s.cls.name].level: s.business for s in class_states if s.cls.name in by_name}
-    restore_cut(admission, learned, moved, cycles)
+    new_levels = {by_name[s.cls.name].level: s.business for s in class_states if s.cls.name in by_name}
+    restore_cut(admission, learned, new_levels, cycles)
     engines.peak = max(engines.peak, in_range_or(learned.peak, 0, 1e5, 0.0) * PEAK_RETENTION**cycles)
     engines.subset_stale = True
 
 
-def restore_engine(now: int, age: int, known: api.LearnedEngine, member: Member, aim: float) -> None:
-    if known.last_answer_age >= 0:
-        member.last_answer_at = max(1, now - known.last_answer_age - age)  # estimates decay with this age
-        member.pace = in_range_or(known.pace, 0.0, 1e3, 1.0)
-        member.failure_rate = in_range_or(known.failure_rate, 0.0, 1.0, 0.0)
+def restore_engine(now: int, age: int, saved: api.LearnedEngine, member: Member, aim: float) -> None:
+    if saved.last_answer_age >= 0:
+        member.last_answer_at = max(1, now - saved.last_answer_age - age)  # estimates decay with this age
+        member.pace = in_range_or(saved.pace, 0.0, 1e3, 1.0)
+        member.failure_rate = in_range_or(saved.failure_rate, 0.0, 1.0, 0.0)
     fresh = age < ESTIMATE_FADE_AIMS * aim
-    member.consecutive_failures = int(in_range_or(known.consecutive_failures, 0, 1e6, 0)) if fresh else 0
-    member.ejections = int(in_range_or(known.ejections, 0, 64, 0)) if fresh else 0
-    left = min(known.ejected_for, int(1.25 * MAX_EJECTION_AIMS * aim)) - age
-    if left > 0:
-        member.out_until = now + left
+    member.consecutive_failures = int(in_range_or(saved.consecutive_failures, 0, 1e6, 0)) if fresh else 0
+    member.ejections = int(in_range_or(saved.ejections, 0, 64, 0)) if fresh else 0
+    remaining = min(saved.ejected_for, int(1.25 * MAX_EJECTION_AIMS * aim)) - age
+    if remaining > 0:
+        member.out_until = now + remaining
 
 
-def restore_class(class_state: ClassState, old: api.LearnedClass, age: int, mean_aim: float) -> None:
+def restore_class(class_state: ClassState, saved: api.LearnedClass, age: int, mean_aim: float) -> None:
     """Scale latencies with the aim of the class, so that a changed aim causes no jump."""
-    scale, aim = class_state.cls.aim / old.aim, class_state.cls.aim
+    scale, aim = class_state.cls.aim / saved.aim, class_state.cls.aim
     if not class_state.base:
-        class_state.base = in_range_or(old.base * scale, 0.0, aim / 2, 0.0)
-    total, count = old.latency
+        class_state.base = in_range_or(saved.base * scale, 0.0, aim / 2, 0.0)
+    total, count = saved.latency
     if (
         age < ESTIMATE_FADE_AIMS * mean_aim
         and not class_state.latency[1]
         and 0 <= total <= MAX_COUNT
         and 0 <= count <= 1e6
     ):
-        keep = 1 / (1 + age / mean_aim)
-        class_state.latency = [total * keep, count * keep]
-        class_state.mean = class_state.mean or in_range_or(old.mean * scale, 0.0, 1e3 * aim, 0.0)
+        retained = 1 / (1 + age / mean_aim)
+        class_state.latency = [total * retained, count * retained]
+        class_state.mean = class_state.mean or in_range_or(saved.mean * scale, 0.0, 1e3 * aim, 0.0)
 
 
-def restore_cut(admission: Admission, learned: api.Learned, moved: Mapping[int, int], cycles: float) -> None:
-    keep = HISTOGRAM_RETENTION**cycles
-    for level, mass in learned.histogram.items():
+def restore_cut(
+    admission: Admission, learned: api.Learned, new_levels: Mapping[int, int], cycles: float
+) -> None:
+    retained = HISTOGRAM_RETENTION**cycles
+    for level, count in learned.histogram.items():
         business, user = divmod(level, USER_LEVELS)
-        if business in moved:
-            at = moved[business] * USER_LEVELS + user
-            admission.histogram[at] = admission.histogram.get(at, 0.0) + in_range_or(mass, 0, 1e9, 0) * keep
-    for business, mass in enumerate(learned.spread):
-        if business in moved:
-            admission.spread[moved[business]] += in_range_or(mass, 0, MAX_COUNT, 0) * keep
-    cut = remap_cut(in_range_or(learned.cut, 0, 1e6, 0.0), moved) * CUT_RETENTION**cycles
+        if business in new_levels:
+            at = new_levels[business] * USER_LEVELS + user
+            admission.histogram[at] = (
+                admission.histogram.get(at, 0.0) + in_range_or(count, 0, 1e9, 0) * retained
+            )
+    for business, count in enumerate(learned.spread):
+        if business in new_levels:
+            admission.spread[new_levels[business]] += in_range_or(count, 0, MAX_COUNT, 0) * retained
+    cut = remap_cut(in_range_or(learned.cut, 0, 1e6, 0.0), new_levels) * CUT_RETENTION**cycles
     admission.cut = max(admission.cut, min(cut, float(admission.top)))
--- a/sprucenotch/settings.py
+++ b/sprucenotch/settings.py
@@ -310,7 +310,9 @@
 def judge(limits: Limits, field: str, type_: Any) -> int:
     """Check a limit that `Limits` leaves unchecked. Return it in nanoseconds, or raise SettingsError."""
     value = getattr(limits, field)
-    [name] = (known.encode_name for known in msgspec.structs.fields(limits) if known.name == field)
+    [name] = (
+        known_field.encode_name for known_field in msgspec.structs.fields(limits) if known_field.name == field
+    )
     if (found := find_problem(value, type_, f"settings.Limits.{name}")) is not None:
         raise SettingsError([found])
     return int(value)
