--- a/sprucenotch/policy/admission.py
+++ b/sprucenotch/policy/admission.py
@@ -1,4 +1,4 @@
-"""The admission cut: a level over business and user levels, below which requests are refused unsent."""
+"""The admission cut: requests whose level (business and user level) is below it are refused unsent."""
 
 from __future__ import annotations
 
@@ -7,97 +7,112 @@
 from sprucenotch import api
 from sprucenotch.policy.state import HOUR, mix
 
-USER_LEVELS = 128  # from the write-up
-HISTOGRAM_KEEP = 0.9  # share of the histogram kept from cycle to cycle: sparse traffic needs some seconds
-SHED_MOST = 0.9  # never shed all: with no sends there is no evidence
+USER_LEVELS = 128  # per business level, as in the published algorithm
+HISTOGRAM_RETENTION = 0.9  # share of the histogram kept each cycle: sparse traffic needs some seconds of it
+MAX_SHED_SHARE = 0.9  # of all arrivals: without sends the load cannot be measured
 
 
-def moved_cut(cut: float, moved: Mapping[int, int]) -> float:
-    """Where a cut lies once the business levels have moved so; 0 where no level is left at it or above."""
-    levels = sorted(moved)
+def remap_cut(cut: float, new_levels: Mapping[int, int]) -> float:
+    """Map a cut to renumbered business levels (old: new). 0 if no level at or above the cut is left."""
+    levels = sorted(new_levels)
     at = next((b for b in levels if (b + 1) * USER_LEVELS > cut), None)
     if at is None and levels and (levels[-1] + 1) * USER_LEVELS == cut:
-        at = levels[-1]  # all of it is refused
-    return 0.0 if at is None or not cut else moved[at] * USER_LEVELS + max(0.0, cut - at * USER_LEVELS)
+        at = levels[-1]  # the cut is above the highest level: everything is refused
+    return 0.0 if at is None or not cut else new_levels[at] * USER_LEVELS + max(0.0, cut - at * USER_LEVELS)
 
 
 class Admission:
-    """The cut, and what arrived by level, by which it is moved."""
+    """The cut, and the histogram of arrivals by level from which its next position is computed."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.instance = settings.instance
         self.cut = 0.0
         self.histogram: dict[int, float] = {}
-        self.spread: list[float] = []  # arrivals without keys, by business level; shared with peers
+        self.spread: list[float] = []  # arrivals without a key, by business level; shared with peers
 
-    def adopt(self, settings: api.Settings, moved: Mapping[int, int], levels: int) -> None:
-        """Have so many business levels; `moved`: where those before lie now, if they are there."""
+    def apply_settings(self, settings: api.Settings, new_levels: Mapping[int, int], levels: int) -> None:
+        """Apply settings with `levels` business levels; `new_levels` maps each old level to its new one."""
         self.instance, self.top = settings.instance, levels * USER_LEVELS
-        masses = [(*divmod(level, USER_LEVELS), mass) for level, mass in self.histogram.items()]
-        self.histogram = {moved[b] * USER_LEVELS + user: mass for b, user, mass in masses if b in moved}
+        counts = [(*divmod(level, USER_LEVELS), count) for level, count in self.histogram.items()]
+        self.histogram = {
+            new_levels[b] * USER_LEVELS + user: count for b, user, count in counts if b in new_levels
+        }
         spread, self.spread = self.spread, [0.0] * levels
-        for b, new in moved.items():
+        for b, new in new_levels.items():
             self.spread[new] += spread[b]
-        self.cut = moved_cut(self.cut, moved)
+        self.cut = remap_cut(self.cut, new_levels)
 
     def passes(self, business: int, event: api.Request, now: int) -> bool:
-        """Whether a request of that business level is not below the cut; counts it as arrived."""
-        level, place = self.level(business, event, now)
-        return level + place >= self.cut
+        """Count an arrival and return whether its level is at or above the cut."""
+        level, position = self.level(business, event, now)
+        return level + position >= self.cut
 
-    def forget(self) -> None:
-        """A cycle is over."""
-        self.histogram = {lv: mass * HISTOGRAM_KEEP for lv, mass in self.histogram.items() if mass > 0.02}
-        self.spread = [mass * HISTOGRAM_KEEP for mass in self.spread]
+    def decay(self) -> None:
+        """Decay the histogram at the end of a cycle."""
+        self.histogram = {
+            level: count * HISTOGRAM_RETENTION for level, count in self.histogram.items() if count > 0.02
+        }
+        self.spread = [count * HISTOGRAM_RETENTION for count in self.spread]
 
     def level(self, business: int, event: api.Request, now: int) -> tuple[int, float]:
-        """The request's level (business x 128 + user), and its place within the level for a smooth cut."""
+        """Return the request's level (business x 128 + user) and its fractional position in it, 0 to 1.
+
+        The fraction lets a cut within a level shed a part of it.
+        """
         salt = mix(now // HOUR)
         if event.key:
             level = business * USER_LEVELS + mix(event.key ^ salt) % USER_LEVELS
             self.histogram[level] = self.histogram.get(level, 0.0) + 1
             return level, 0.5
-        # Of keyless requests one sidecar sees few user levels: the fleet's mass counts as even over all. A
-        # tenant is hashed with the sidecar's number: by itself it would put much traffic on one level.
+        # One sidecar sees few user levels of keyless requests, so they count as spread evenly over all.
+        # A tenant is hashed with the sidecar's number: hashed alone, it would put much traffic on one level.
         self.spread[business] += 1
-        place = mix(self.instance ^ mix(event.tenant ^ salt))
-        return business * USER_LEVELS + place % USER_LEVELS, (place >> 7) / 2**57
+        tenant_hash = mix(self.instance ^ mix(event.tenant ^ salt))
+        return business * USER_LEVELS + tenant_hash % USER_LEVELS, (tenant_hash >> 7) / 2**57
 
     def segments(self) -> list[tuple[int, int, float]]:
-        parts = [(level, 1, mass) for level, mass in self.histogram.items()]
-        return sorted(parts + [(b * USER_LEVELS, USER_LEVELS, mass) for b, mass in enumerate(self.spread)])
-
-    def raise_by(self, share: float) -> None:
-        """Climb until the share of what passed is shed."""
-        parts = self.segments()
-        total = sum(mass for _, _, mass in parts)
-        passed = sum(mass * min(1.0, max(0.0, (at + width - self.cut) / width)) for at, width, mass in parts)
-        target = min(share * passed, passed - (1 - SHED_MOST) * total)
-        for at, width, mass in parts:
+        """Return the arrivals as (first level, number of levels, count), sorted by level."""
+        segments = [(level, 1, count) for level, count in self.histogram.items()]
+        return sorted(
+            segments + [(b * USER_LEVELS, USER_LEVELS, count) for b, count in enumerate(self.spread)]
+        )
+
+    def raise_cut(self, share: float) -> None:
+        """Raise the cut until it sheds this share of the requests that passed."""
+        segments = self.segments()
+        total = sum(count for _, _, count in segments)
+        passed = sum(
+            count * min(1.0, max(0.0, (at + width - self.cut) / width)) for at, width, count in segments
+        )
+        target = min(share * passed, passed - (1 - MAX_SHED_SHARE) * total)
+        for at, width, count in segments:
             low = max(self.cut, at)
-            left = mass * (at + width - low) / width
-            if left <= 1e-9:
+            remaining = count * (at + width - low) / width
+            if remaining <= 1e-9:
                 continue
-            if left >= target:
-                self.cut = low + max(0.0, target) * width / mass
+            if remaining >= target:
+                self.cut = low + max(0.0, target) * width / count
                 return
-            target -= left
+            target -= remaining
             self.cut = float(at + width)
 
-    def ease_by(self, share: float) -> None:
-        """Descend until the share of what arrived is let in again, at least one level: that of what passed,
-        little after a deep cut, would keep the cut up for minutes over servers long idle."""
-        parts = self.segments()
-        target = share * sum(mass for _, _, mass in parts)
+    def lower_cut(self, share: float) -> None:
+        """Lower the cut until this share of the arrivals passes again, at least by one level.
+
+        A share of the passed requests, few after a deep cut, would hold the cut up for minutes while servers
+        idle.
+        """
+        segments = self.segments()
+        target = share * sum(count for _, _, count in segments)
         low = max(0.0, self.cut - 1)
-        for at, width, mass in reversed(parts):
+        for at, width, count in reversed(segments):
             high = min(self.cut, at + width)
-            left = mass * (high - at) / width
-            if left <= 1e-9:
+            remaining = count * (high - at) / width
+            if remaining <= 1e-9:
                 continue
-            if left >= target:
-                self.cut = min(low, high - target * width / mass)
+            if remaining >= target:
+                self.cut = min(low, high - target * width / count)
                 return
-            target -= left
+            target -= remaining
             self.cut = float(at)
         self.cut = 0.0
