--- a/sprucenotch/node/__init__.py
+++ b/sprucenotch/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sprucenotch's decisions on sockets."""
+"""The sidecar process: runs sprucenotch's balancer on real sockets."""
--- a/sprucenotch/node/acceptor.py
+++ b/sprucenotch/node/acceptor.py
@@ -1,8 +1,8 @@
-"""Accepts the connections of a listener, and leaves in the kernel's queue what it cannot take yet.
+"""Accepts connections; those that cannot be accepted yet stay in the kernel's queue.
 
-The event loop's own server accepts and closes what waits when descriptors run out, and forgets the queue when
-it is closed. Here accept is called by the program: a failure that passes is counted and tried again, and a
-listener is closed only once its queue is empty.
+The event loop's own server accepts and closes queued connections when descriptors run out, and drops the
+queue when it is closed. This one counts and retries a transient failure of accept, and closes a listener only
+once its queue is empty.
 """
 
 from __future__ import annotations
@@ -19,20 +19,19 @@
 from sprucenotch.node.transport import SocketTransport
 from sprucenotch.seams.system_errors import EXHAUSTED, MAX_PAUSE, Shortage, pauses
 
-MAX_FAILURES_AT_ONCE = 8  # connections that failed in the queue, after which accept pauses too
-# Seconds for which a queue that cannot be emptied is tried as the listener closes. New connections end 0.4 s
-# after SIGTERM, accepting 0.6 s after it, and the process is killed 0.7 s and the longest deadline after it.
+MAX_FAILURES_AT_ONCE = 8  # after so many failed connections in a row accept pauses too
+# Seconds in which failures of accept are retried while the listener closes. After SIGTERM, new connections
+# stop at 0.4 s and accepting at 0.6 s; the kill comes 0.7 s plus the longest deadline after the signal.
 CLOSE_TIMEOUT = 0.3
 
 log = logging.getLogger(__name__)
 
 
 class Acceptor:
-    """Takes the connections of a listening socket, one at a time: each is its protocol's before the next is
-    taken.
+    """Accepts the connections of a listening socket one at a time: each gets its protocol before the next.
 
-    `make_room` closes a connection that its client is done with, if there is one; it is called where
-    descriptors stay short. `count` hears of each accept that failed.
+    `make_room` closes an idle connection, if there is one; it is called while descriptors stay short. `count`
+    is called for each accept that failed.
     """
 
     def __init__(
@@ -45,17 +44,17 @@
         self._listener, self._protocol = listener, protocol
         self._make_room, self._count = make_room, count
         self._loop = asyncio.get_running_loop()
-        self._waiting: asyncio.Future[None] | None = None  # for the next connection to come
+        self._waiting: asyncio.Future[None] | None = None  # for the next connection
         self._closing = False
-        self._failures, self._pauses = 0, pauses()  # of accept, since the last connection that was taken
+        self._failures, self._pauses = 0, pauses()  # of accept, since the last success
         self._shortage = Shortage()
         listener.setblocking(False)
         self._watch = running_poller().watch(listener.fileno(), self._wake)
         self._task = self._loop.create_task(self._run())
 
     async def close(self) -> None:
-        """Take what waits in the queue, then close the listener; the kernel resets what it still holds. At
-        most as many are taken as may wait."""
+        """Accept the queued connections, at most BACKLOG of them, then close the listener; the kernel resets
+        the others."""
         self._closing = True
         self._wake()
         await self._task
@@ -64,8 +63,8 @@
         try:
             while not self._closing:
                 try:
-                    await self._take_or_wait()
-                except Exception:  # whatever else fails, the listener goes on
+                    await self._accept_or_wait()
+                except Exception:  # an unexpected error must not stop the listener
                     log.exception("fault", extra={"fields": {"handling": "accept"}})
                     await asyncio.sleep(MAX_PAUSE)
             await self._take_all_waiting()
@@ -73,22 +72,22 @@
             self._watch.end()
             self._listener.close()
 
-    async def _take_or_wait(self) -> None:
+    async def _accept_or_wait(self) -> None:
         try:
-            taken, _ = self._listener.accept()
+            accepted, _ = self._listener.accept()
         except BlockingIOError:
-            await self._readable()
+            await self._wait_readable()
         except OSError as problem:
             await self._pause_after(problem)
         else:
-            await self._hand_over(taken)
+            await self._hand_over(accepted)
 
     async def _take_all_waiting(self) -> None:
-        """Empty the queue; a failure to do so is tried again until CLOSE_TIMEOUT."""
-        give_up_at, left = self._loop.time() + CLOSE_TIMEOUT, BACKLOG
-        while left > 0:
+        """Empty the queue; failures of accept are retried until CLOSE_TIMEOUT."""
+        give_up_at, remaining = self._loop.time() + CLOSE_TIMEOUT, BACKLOG
+        while remaining > 0:
             try:
-                taken, _ = self._listener.accept()
+                accepted, _ = self._listener.accept()
             except BlockingIOError:
                 return
             except OSError as problem:
@@ -97,12 +96,12 @@
                     return
                 await self._pause_after(problem)
             else:
-                left -= 1
-                await self._hand_over(taken)
+                remaining -= 1
+                await self._hand_over(accepted)
 
     async def _pause_after(self, problem: OSError) -> None:
-        """Wait after a failed accept. One that failed for its own connection's sake needs no wait, unless
-        many do so in a row."""
+        """Wait after a failed accept. A failure of the connection itself needs no pause, unless many occur
+        in a row."""
         self._failures += 1
         self._count("accept_failed")
         if self._shortage.lasts(problem):
@@ -110,14 +109,14 @@
         at_once = problem.errno not in EXHAUSTED and self._failures <= MAX_FAILURES_AT_ONCE
         await asyncio.sleep(0 if at_once else next(self._pauses))
 
-    async def _hand_over(self, taken: socket.socket) -> None:
+    async def _hand_over(self, accepted: socket.socket) -> None:
         self._failures, self._pauses = 0, pauses()
         self._shortage.ends()
-        SocketTransport(taken, self._protocol())
-        await asyncio.sleep(0)  # the connections that are open have their turn too
+        SocketTransport(accepted, self._protocol())
+        await asyncio.sleep(0)  # let the open connections run too
 
-    async def _readable(self) -> None:
-        """Wait until a connection is in the queue, or the listener is to be closed."""
+    async def _wait_readable(self) -> None:
+        """Wait until a connection is queued or the listener is to be closed."""
         self._waiting = self._loop.create_future()
         self._watch.want(select.EPOLLIN)
         try:
--- a/sprucenotch/node/connection.py
+++ b/sprucenotch/node/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a server: a request at a time, its answer, and what may be told of both."""
+"""An HTTP/1.1 connection to a server: one request at a time, its answer and how far each has got."""
 
 from __future__ import annotations
 
@@ -10,67 +10,71 @@
 import httptools
 
 from sprucenotch.node.config import Address
-from sprucenotch.node.stream import LAST_CHUNK, READ_BUFFER, STALLED, WHOLE_MOST, Stream, chunk, nothing
+from sprucenotch.node.stream import LAST_CHUNK, READ_BUFFER, STALL_TIMEOUT, WHOLE_MOST, Stream, chunk, nothing
 from sprucenotch.node.transport import SocketTransport
 
 HEAD_MOST = 32 * 1024
-BLANKS = b" \t"  # around the value of a header, and no part of it
+HEADER_WHITESPACE = b" \t"  # optional whitespace around a header value
 
 Headers: TypeAlias = list[tuple[bytes, bytes]]
 
 
 class Answer(NamedTuple):
+    """An answer from a server, or one that the sidecar gives itself."""
+
     status: int
     headers: Headers
     body: bytes
-    rest: Stream | None = None  # in place of the body of a long answer, which is still to come
-    headed: int = 0  # the monotonic time when the head of a long one came
+    rest: Stream | None = None  # replaces the body of a streamed answer
+    head_time_ns: int = 0  # monotonic time at which the head of a streamed answer arrived
 
     def header(self, name: bytes) -> bytes | None:
+        """Return the first header of that name (lower case)."""
         return next((value for key, value in self.headers if key == name), None)
 
 
-UNREADABLE = Answer(0, [], b"")  # what came cannot be read as HTTP: the endpoint is up all the same
-BODILESS = (204, 304)
+UNREADABLE = Answer(0, [], b"")  # malformed HTTP; the endpoint still counts as up
+STATUSES_WITHOUT_BODY = (204, 304)
 NEVER = 1 << 63  # later than any time
-Done: TypeAlias = Callable[[Answer | None], None]
+AnswerCallback: TypeAlias = Callable[[Answer | None], None]
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One HTTP/1.1 client connection; it carries a request at a time and never sends one again by itself."""
+    """An HTTP/1.1 connection to a server. It carries one request at a time and never repeats one."""
 
     def __init__(self, on_lost: Callable[[Connection], None] | None = None) -> None:
         self._on_lost = on_lost
-        self.counted = False  # among those that are open, or on their way up
+        self.counted = False  # among the open and connecting ones
         self._transport: SocketTransport | None = None
-        self._done: Done | None = None
-        self._free = nothing
-        self._upload: Stream | None = None  # the body of a long request under way
-        self._rest: Stream | None = None  # that of a long answer
+        self._on_answer: AnswerCallback | None = None
+        self._on_finished = nothing
+        self._upload: Stream | None = None  # the streamed body of the current request
+        self._answer_stream: Stream | None = None  # the body of a streamed answer
         self._answer: Answer | None = None
-        self._ended = False  # the whole answer has come
-        self.eager_from = NEVER  # what comes then of an answer of unknown length need not be held any more
-        self._clogged = self._paused = False
-        self.whole = False  # the last byte of the request has gone out
-        self._stalled: asyncio.TimerHandle | None = None
+        self._answer_complete = False  # the last byte of the answer has arrived
+        self.eager_from = NEVER  # from then on an answer of unknown length is streamed
+        self._write_blocked = self._paused = False
+        self.whole = False  # the last byte of the request has been sent
+        self._stall_timer: asyncio.TimerHandle | None = None
         self.idle_since = self.rests_until = 0
         self.dial: Address | None = None  # of the endpoint
         self.body_most = WHOLE_MOST
-        self.streams = False  # a longer body is passed on as it comes; else it is an error
+        self.streams = False  # a longer body is streamed; otherwise it is an error
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(SocketTransport, transport)
 
     @property
     def open(self) -> bool:
+        """Whether it is connected and not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     def usable(self) -> bool:
-        """Whether a request may go out here: open, nothing under way, nothing sent by the peer.
+        """Whether a request may be sent: open, nothing under way, no input from the peer.
 
-        The peer's end of the connection may lie unread in the kernel. A request written after it would be
-        lost as a reset, which may have run, so the socket itself is asked. Where the kernel cannot tell for
-        the moment, it is not.
+        The peer's close may be in the kernel's buffer and not read yet. A request written after it would end
+        in a reset and would have to count as possibly run, so the socket is polled. If that fails, the
+        connection is not usable.
         """
         transport = self._transport
         return transport is not None and not transport.is_closing() and not transport.events()
@@ -78,37 +82,38 @@
     def send(
         self,
         data: bytes,
-        done: Done,
+        done: AnswerCallback,
         written: Callable[[], None] = nothing,
         free: Callable[[], None] = nothing,
         upload: Stream | None = None,
     ) -> bool:
-        """Write a request, whose body comes from `upload` if it is long. False: its last byte surely did not
-        go out. Else `done` gets the answer, once: UNREADABLE if it makes no sense, None if the connection
-        broke. `written` is called once the last byte has gone out, `free` once the answer is over.
+        """Write a request, whose body comes from `upload` if it is streamed. Return False if its last byte
+        was not sent. Otherwise `done` is called once with the answer: UNREADABLE if it is
+        malformed, None if the connection broke. `written` is called once the last byte has been sent, `free`
+        once the answer has ended.
         """
         transport = self._transport
         if transport is None or transport.is_closing():
             return False
         self._parser = httptools.HttpResponseParser(self)
         self._answer = None
-        self._junk = self._ended = False
-        self._begin_answer()
+        self._malformed = self._answer_complete = False
+        self._reset_answer()
         transport.write(data)
         if transport.is_closing():  # the peer was first
             self.close()
             return False
-        self._done, self._written, self._free = done, written, free
-        self._upload, self._rest = upload, None
-        self._last, self.whole = upload is None, False
+        self._on_answer, self._on_written, self._on_finished = done, written, free
+        self._upload, self._answer_stream = upload, None
+        self._request_written, self.whole = upload is None, False
         if upload is not None:
             upload.attach(self)
-        elif not self._clogged:
-            self._went()
+        elif not self._write_blocked:
+            self._request_sent()
         return True
 
     async def ask(self, request: bytes) -> Answer | None:
-        """Send a request and wait for its answer: None where the connection breaks first."""
+        """Send a request and wait for its answer; None if the connection breaks first."""
         answered: asyncio.Future[Answer | None] = asyncio.get_running_loop().create_future()
 
         def done(answer: Answer | None) -> None:
@@ -118,117 +123,120 @@
         return await answered if self.send(request, done) else None
 
     def close(self) -> None:
+        """Abort the connection without calling the callbacks of the current request."""
         self._end_sending()
-        self._done, self._free, self._rest = None, nothing, None
-        self._let_go()
+        self._on_answer, self._on_finished, self._answer_stream = None, nothing, None
+        self._detach_upload()
         if self._transport is not None:
             self._transport.abort()
 
     def _end_sending(self) -> None:
-        """Tell the peer at once that its request is given up, if its answer is still to come. The transport
-        closes only in the next turn of the loop, and another attempt may be on its way by then."""
-        if self._done is not None and not self._ended and self._transport is not None:
+        """Half-close the socket at once if an answer is pending, so that the peer sees that the request was
+        abandoned. The transport closes only in the next loop iteration, when another attempt may be out."""
+        if self._on_answer is not None and not self._answer_complete and self._transport is not None:
             self._transport.end_sending()
 
-    def _let_go(self) -> None:
+    def _detach_upload(self) -> None:
         if self._upload is not None:
             self._upload.detach()
             self._upload = None
 
-    # ---- the request's way out
+    # ---- sending the request
 
     def body(self, piece: bytes) -> None:
         if self._transport is not None and self._upload is not None:
             self._transport.write(chunk(piece) if self._upload.length is None else piece)
-            if self._clogged:
-                self._upload.clog(True)
+            if self._write_blocked:
+                self._upload.set_paused(True)
 
     def body_end(self, whole: bool) -> None:
         if self._transport is not None and self._upload is not None:
-            self._last = True
+            self._request_written = True
             if self._upload.length is None:
                 self._transport.write(LAST_CHUNK)
-            if not self._clogged:
-                self._went()
+            if not self._write_blocked:
+                self._request_sent()
 
-    def _went(self) -> None:
-        """The last byte has gone out: from here on a break counts as may-have-run."""
+    def _request_sent(self) -> None:
+        """Note that the last byte was sent: if the connection breaks now, the request may have run."""
         self.whole = True
-        self._written()
+        self._on_written()
 
     def pause_writing(self) -> None:
-        self._clogged = True
+        self._write_blocked = True
         self._watch_progress()
 
     def resume_writing(self) -> None:
-        self._clogged = False
+        self._write_blocked = False
         self._watch_progress()
-        if self._done is None:
+        if self._on_answer is None:
             return
-        if self._last and not self.whole:
-            self._went()
+        if self._request_written and not self.whole:
+            self._request_sent()
         elif self._upload is not None:
-            self._upload.clog(False)
+            self._upload.set_paused(False)
 
     def _watch_progress(self) -> None:
-        """Give up a peer that neither takes nor gives for long, where no deadline does."""
-        if self._stalled is not None:
-            self._stalled.cancel()
-            self._stalled = None
-        if self._transport is not None and (self._clogged or (self._rest is not None and not self._paused)):
-            self._stalled = asyncio.get_running_loop().call_later(STALLED, self._give_up)
-
-    def _give_up(self) -> None:
-        """Nothing moves any more. The end that follows is made here: it is not that of an answer which ends
-        with its connection."""
-        self._until_end = False
+        """Restart or stop the timer that aborts a stalled transfer, for phases that no deadline covers."""
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+            self._stall_timer = None
+        if self._transport is not None and (
+            self._write_blocked or (self._answer_stream is not None and not self._paused)
+        ):
+            self._stall_timer = asyncio.get_running_loop().call_later(STALL_TIMEOUT, self._abort_stalled)
+
+    def _abort_stalled(self) -> None:
+        """Abort a stalled transfer. The close that follows is the sidecar's own and must not count as the
+        regular end of an answer that ends with its connection."""
+        self._until_close = False
         if self._transport is not None:
             self._transport.abort()
 
-    # ---- the answer's way in
+    # ---- receiving the answer
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self._done is None and self._rest is None:
-            self.close()  # an answer that nobody asked for
+        if self._on_answer is None and self._answer_stream is None:
+            self.close()  # an answer without a request
             return
         try:
             self._parser.feed_data(READ_BUFFER[:nbytes])
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._junk = True
-        if self._ended:
-            # Bytes past the end of the answer make the connection unfit, not the answer.
-            self._finish(self._answer, self._keep and not self._junk)
+            self._malformed = True
+        if self._answer_complete:
+            # Input after the end of the answer makes the connection unusable, but the answer is valid.
+            self._finish(self._answer, self._keep_alive and not self._malformed)
             return
-        if self._junk:
+        if self._malformed:
             self._finish(UNREADABLE, False)
             return
-        if self._open_ended and self._rest is None and time.monotonic_ns() >= self.eager_from:
-            self._start_long(None)
-        if self._rest is not None:
-            self._pass_on(self._rest)
-            self._begin_long()
+        if self._length_unknown and self._answer_stream is None and time.monotonic_ns() >= self.eager_from:
+            self._start_streaming(None)
+        if self._answer_stream is not None:
+            self._feed_stream(self._answer_stream)
+            self._deliver_stream()
             self._watch_progress()
 
-    def _pass_on(self, rest: Stream) -> None:
+    def _feed_stream(self, rest: Stream) -> None:
         if self._body:
             rest.feed(bytes(self._body))
             self._body.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        under_way = self._done is not None or self._rest is not None
-        if under_way and exc is None and self._until_end:
-            self.on_message_complete()  # such an answer ends with its connection
-        self._finish(self._answer if self._ended else None, False)
+        under_way = self._on_answer is not None or self._answer_stream is not None
+        if under_way and exc is None and self._until_close:
+            self.on_message_complete()  # the close marks the end of this answer
+        self._finish(self._answer if self._answer_complete else None, False)
         self._watch_progress()
         if self._on_lost is not None:
             self._on_lost(self)
 
-    def _hold(self, on: bool) -> None:
-        """Pause a long answer, or go on with it."""
+    def _pause_answer(self, on: bool) -> None:
+        """Pause or resume reading of a streamed answer."""
         if self._transport is not None and on != self._paused:
             self._paused = on
             if on:
@@ -237,81 +245,81 @@
                 self._transport.resume_reading()
             self._watch_progress()
 
-    def _begin_long(self) -> None:
-        """Whoever waits for the answer gets it as it begins."""
-        done, self._done = self._done, None
+    def _deliver_stream(self) -> None:
+        """Pass on a streamed answer as it begins."""
+        done, self._on_answer = self._on_answer, None
         if done is not None:
-            done(Answer(self._status, self._headers, b"", self._rest, self._headed_at))
+            done(Answer(self._status, self._headers, b"", self._answer_stream, self._head_time_ns))
 
     def _finish(self, answer: Answer | None, keep: bool) -> None:
-        """The answer is whole, or no more of it will come."""
+        """End the exchange: the answer is complete, or no more of it will arrive."""
         if not (keep and self.whole) and self._transport is not None:
             self._end_sending()
             self._transport.abort()
-        self._let_go()
-        if self._rest is not None:
-            self._pass_on(self._rest)
-            self._begin_long()
-        rest, self._rest = self._rest, None
-        done, self._done = self._done, None
-        free, self._free = self._free, nothing
+        self._detach_upload()
+        if self._answer_stream is not None:
+            self._feed_stream(self._answer_stream)
+            self._deliver_stream()
+        rest, self._answer_stream = self._answer_stream, None
+        done, self._on_answer = self._on_answer, None
+        free, self._on_finished = self._on_finished, nothing
         if rest is not None:
-            rest.finish(self._ended)
-        self._hold(False)
+            rest.finish(self._answer_complete)
+        self._pause_answer(False)
         free()
         if done is not None:
             done(answer)
 
     # ---- httptools' callbacks
 
-    def _begin_answer(self) -> None:
-        self._status = self._head_size = self._size = 0
-        self._headed = self._until_end = self._open_ended = False
+    def _reset_answer(self) -> None:
+        self._status = self._head_size = self._body_size = 0
+        self._head_received = self._until_close = self._length_unknown = False
         self._headers: Headers = []
-        self._body = bytearray()  # held, or on its way to the stream: one write for all that came at once
+        self._body = bytearray()  # buffered; or collected for a single write to the stream
 
     def on_message_begin(self) -> None:
-        if self._ended:
-            self._junk = True
+        if self._answer_complete:
+            self._malformed = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._head_size += len(name) + len(value)
         if self._head_size > HEAD_MOST:
             raise ValueError("the head is too long")
-        if not self._headed:  # else it is a trailer
-            self._headers.append((name.lower(), value.rstrip(BLANKS)))
+        if not self._head_received:  # else it is a trailer
+            self._headers.append((name.lower(), value.rstrip(HEADER_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
-        self._headed, self._status = True, self._parser.get_status_code()
-        if self._status < 200 or self._ended:
+        self._head_received, self._status = True, self._parser.get_status_code()
+        if self._status < 200 or self._answer_complete:
             return
-        told = dict(self._headers)
-        length = told.get(b"content-length")
-        self._headed_at = time.monotonic_ns()
-        self._open_ended = length is None and self._status not in BODILESS
-        self._until_end = self._open_ended and b"transfer-encoding" not in told
+        headers = dict(self._headers)
+        length = headers.get(b"content-length")
+        self._head_time_ns = time.monotonic_ns()
+        self._length_unknown = length is None and self._status not in STATUSES_WITHOUT_BODY
+        self._until_close = self._length_unknown and b"transfer-encoding" not in headers
         if length is not None and int(length) > WHOLE_MOST:
-            self._start_long(int(length))
+            self._start_streaming(int(length))
 
     def on_body(self, body: bytes) -> None:
         self._body += body
-        self._size += len(body)
-        if self._rest is None and self._size > self.body_most:
-            self._start_long(None)
+        self._body_size += len(body)
+        if self._answer_stream is None and self._body_size > self.body_most:
+            self._start_streaming(None)
 
-    def _start_long(self, length: int | None) -> None:
+    def _start_streaming(self, length: int | None) -> None:
         if not self.streams or self._status != 200:
-            told_too_long = not self.streams and length is not None and length > self.body_most
-            if told_too_long or self._size > self.body_most:
+            declared_too_long = not self.streams and length is not None and length > self.body_most
+            if declared_too_long or self._body_size > self.body_most:
                 raise ValueError("answer too long")
             return
-        self._rest = Stream(self._hold, length, self.close)
+        self._answer_stream = Stream(self._pause_answer, length, self.close)
 
     def on_message_complete(self) -> None:
-        if self._status < 200:  # an interim answer: the real one follows
-            self._begin_answer()
-        elif not self._ended:
-            self._ended = True
+        if self._status < 200:  # an interim (1xx) answer: the final one follows
+            self._reset_answer()
+        elif not self._answer_complete:
+            self._answer_complete = True
             self._answer = Answer(self._status, self._headers, bytes(self._body))
-            # Asked after this callback, the parser has forgotten the length and always says no.
-            self._keep = self._parser.should_keep_alive()
+            # After this callback the parser has forgotten the length and always returns False.
+            self._keep_alive = self._parser.should_keep_alive()
--- a/sprucenotch/node/exchange.py
+++ b/sprucenotch/node/exchange.py
@@ -1,4 +1,4 @@
-"""A request of a client's connection and its answer, which goes out in its turn."""
+"""A request on a client's connection and its answer, which is sent in the order of the requests."""
 
 from __future__ import annotations
 
@@ -6,37 +6,39 @@
 
 from sprucenotch.node.config import SECOND
 from sprucenotch.node.connection import Answer, Headers
-from sprucenotch.node.head import CLOSE, SERVER_ONLY
+from sprucenotch.node.head import CONNECTION_CLOSE, UNFORWARDED_ANSWER_HEADERS
 from sprucenotch.node.stream import Stream
 
 
 class Exchange:
-    """A request of a connection and its answer, which goes out in its turn."""
+    """A request on a client's connection and its answer, which is sent in the order of the requests."""
 
-    __slots__ = ("_flush", "answer", "connected", "id", "last", "old", "upload")
+    __slots__ = ("_flush", "answer", "closes_connection", "connected", "http10", "id", "upload")
 
     def __init__(
-        self, flush: Callable[[], None], connected: Callable[[], bool], last: bool, old: bool
+        self, flush: Callable[[], None], connected: Callable[[], bool], closes_connection: bool, http10: bool
     ) -> None:
         self._flush, self.connected = flush, connected
-        self.last = last  # whether the connection ends with it
-        self.old = old  # HTTP/1.0: knows no chunks, and takes a connection as closed unless told
-        self.id = 0  # the host's; 0: answered here
+        self.closes_connection = closes_connection  # whether the connection ends after its answer
+        self.http10 = http10  # has no chunked coding, and closes the connection unless told otherwise
+        self.id = 0  # in the ledger; 0: not in the ledger
         self.answer: Answer | None = None
         self.upload: Stream | None = None
 
     def put(self, answer: Answer) -> None:
+        """Set the answer, and send it if it is due."""
         self.answer = answer
         if self.upload is not None:
-            self.upload.drop()  # whatever of the body still comes
+            self.upload.drop()  # the rest of the request body
         self._flush()
 
     def say(self, status: int, text: bytes, headers: Headers | None = None) -> None:
+        """Answer with a status and a line of text."""
         self.put(Answer(status, headers or [], text + b"\n"))
 
     def serve(self, answer: Answer) -> None:
-        kept = [h for h in answer.headers if h[0] not in SERVER_ONLY]
-        self.put(Answer(200, kept, answer.body, answer.rest))
+        forwarded = [h for h in answer.headers if h[0] not in UNFORWARDED_ANSWER_HEADERS]
+        self.put(Answer(200, forwarded, answer.body, answer.rest))
 
     def refuse(self, stay_away: int) -> None:
         headers = [(b"Retry-After", b"%.3f" % (stay_away / SECOND))] if stay_away else []
@@ -46,12 +48,12 @@
         self.say(504 if timed_out else 502, b"failed; it may have run")
 
     def framing(self, answer: Answer, close: bool) -> list[bytes]:
-        """The lines that tell the client where the answer and the connection end."""
+        """The header lines that tell the client where the answer and the connection end."""
         lines = []
-        if answer.rest is not None and answer.rest.length is None and not self.old:
+        if answer.rest is not None and answer.rest.length is None and not self.http10:
             lines.append(b"Transfer-Encoding: chunked")
         if close:
-            lines.append(CLOSE)
-        elif self.old:
+            lines.append(CONNECTION_CLOSE)
+        elif self.http10:
             lines.append(b"Connection: keep-alive")
         return lines
--- a/sprucenotch/node/head.py
+++ b/sprucenotch/node/head.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers: what they say, what of them goes on. No sockets, and nothing is kept."""
+"""Parsing, checking and building of request and answer heads. No sockets and no state."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from sprucenotch.node.connection import Headers
 from sprucenotch.node.ledger import Incoming
 
-# What concerns one connection only, or is written anew.
+# Headers that concern a single connection or are generated anew.
 HOP_BY_HOP = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
         b"upgrade", b"content-length", b"expect",
     )
 )  # fmt: skip
-SERVER_ONLY = HOP_BY_HOP | {b"srv-load", b"srv-declined"}
-CLIENT_ONLY = HOP_BY_HOP | {b"req-deadline"}
-CLOSE = b"Connection: close"
+UNFORWARDED_ANSWER_HEADERS = HOP_BY_HOP | {b"srv-load", b"srv-declined"}
+UNFORWARDED_REQUEST_HEADERS = HOP_BY_HOP | {b"req-deadline"}
+CONNECTION_CLOSE = b"Connection: close"
 STATUS_LINES = {s.value: f"HTTP/1.1 {s.value} {s.phrase}".encode() for s in HTTPStatus}
 METHODS = {
     api.Effect.SAFE: (b"GET", False),
@@ -30,13 +30,15 @@
 
 
 class BadRequest(Exception):
+    """A request that is answered with an error status."""
+
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
         self.status, self.why = status, why
 
 
 def head(status: int, headers: Headers, length: int | None, *ending: bytes) -> bytes:
-    """The head of an answer; a length of None leaves the framing to the ending lines."""
+    """Build the head of an answer. With a length of None, `ending` contains the framing headers."""
     lines = [STATUS_LINES[status]]
     lines += [b"%s: %s" % header for header in headers]
     if length is not None:
@@ -45,49 +47,50 @@
 
 
 def reply(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
-    return head(status, headers, len(body), *([CLOSE] if close else [])) + body
+    """Build a whole answer."""
+    return head(status, headers, len(body), *([CONNECTION_CLOSE] if close else [])) + body
 
 
 class HeadRules:
-    """Which heads are requests, by the settings in force."""
+    """Checks request heads against the current settings."""
 
     def __init__(self, settings: api.Settings) -> None:
         self._classes = {c.name.encode(): c for c in settings.classes}
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
-    def check(self, method: bytes, url: bytes, lines: list[bytes], told: dict[bytes, bytes]) -> Incoming:
-        """What the head of a request says, or BadRequest. The lines are the headers that go on."""
-        cls = self._classes.get(told.get(b"req-kind", b""))
+    def check(self, method: bytes, url: bytes, lines: list[bytes], headers: dict[bytes, bytes]) -> Incoming:
+        """Parse a request head; `lines` are the headers to forward. Raises BadRequest."""
+        cls = self._classes.get(headers.get(b"req-kind", b""))
         if cls is None:
             raise BadRequest(400, "Req-Kind is missing or unknown")
-        if not told.get(b"req-id"):
+        if not headers.get(b"req-id"):
             raise BadRequest(400, "Req-Id is missing")
         expected, keyed = METHODS[cls.effect]
         if method != expected:
             raise BadRequest(405, "the method does not fit the class")
-        if keyed and not told.get(b"idempotency-key"):
+        if keyed and not headers.get(b"idempotency-key"):
             raise BadRequest(400, "Idempotency-Key is missing")
         tenant = 0
         if self._tenants:
-            owner = self._tenants.get(told.get(b"req-owner", b""))
+            owner = self._tenants.get(headers.get(b"req-owner", b""))
             if owner is None:
                 raise BadRequest(400, "Req-Owner is missing or unknown")
             tenant = owner
         return Incoming(
-            name=told[b"req-id"],
+            req_id=headers[b"req-id"],
             cls=cls.name,
             tenant=tenant,
             key=request_key(url),
-            deadline=deadline(told.get(b"req-deadline")),
-            hint=hint(told.get(b"req-cost")),
-            repeat=told.get(b"req-retry") == b"1",
+            deadline=deadline(headers.get(b"req-deadline")),
+            hint=hint(headers.get(b"req-cost")),
+            repeat=headers.get(b"req-retry") == b"1",
             head=b"\r\n".join((b"%s %s HTTP/1.1" % (method, url), *lines, b"")),
             body=b"",
         )
 
 
 def request_key(url: bytes) -> int:
-    """What the request is about, as a number that is the same at every sidecar; 0: nothing."""
+    """Hash the query parameter k to a number that is the same on every sidecar; 0 if there is none."""
     _, _, query = url.partition(b"?")
     for part in query.split(b"&"):
         if part.startswith(b"k=") and len(part) > 2:
@@ -96,6 +99,7 @@
 
 
 def deadline(text: bytes | None) -> int:
+    """Parse Req-Deadline, in seconds, to nanoseconds. Raises BadRequest."""
     try:
         seconds = float(text or b"")
     except ValueError:
@@ -106,5 +110,5 @@
 
 
 def hint(text: bytes | None) -> int:
-    """A guess at the work. One that makes no sense is no guess."""
+    """Parse Req-Cost, the client's estimate of the work; 0 if it is missing or invalid."""
     return int(text) * 1000 if text and text.isdigit() and len(text) < 13 else 0
--- a/sprucenotch/node/host.py
+++ b/sprucenotch/node/host.py
@@ -1,6 +1,7 @@
-"""Drives the decisions: events in as they come, actions out; keeps the ledger of requests and attempts.
+"""Feeds events to the balancer and carries out its actions; keeps the ledger of requests and attempts.
 
-It decides nothing. Events are taken one at a time: all actions of one are carried out before the next.
+The host makes no decisions. It handles one event at a time: all actions of an event are carried out before
+the next event.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from sprucenotch.node.pool import Pool
 from sprucenotch.node.rules import Rule, Rules, may_have_run
 from sprucenotch.node.standing import MS, STATUS_EVERY, Standing, own_memory
-from sprucenotch.node.stream import READ_MOST, Budget, Stream
+from sprucenotch.node.stream import MAX_READ_SIZE, Budget, Stream
 from sprucenotch.node.telemetry import OUTCOMES, Telemetry
 from sprucenotch.node.upstream import TIMER_EARLY, Upstream
 from sprucenotch.policy.balance import Balancer
@@ -33,16 +34,18 @@
 
 log = logging.getLogger(__name__)
 
-DEADLINE_MARGIN = 10 * MS  # the client's time ends this much earlier here: for loop lag and the way back
-# A process that discovery has told nothing yet may hold a list that is stale, and what changed since may
-# count as told already. So it takes no requests until then; with discovery down it serves by that list in
-# the end. A restarted process has 6 s to be ready, of which the rest is for its start.
+DEADLINE_MARGIN = 10 * MS  # subtracted from the client's deadline: for loop lag and the way back
+# Until discovery answers, the process may have a stale host list, and discovery may regard the changes since
+# as delivered. So the process accepts no requests before that answer, or before this timeout if discovery is
+# down. A restarted process has 6 s to be ready; the remainder is for starting up.
 START_TIMEOUT = 5 * SECOND
-# After SIGTERM the process is killed no sooner than the longest deadline, taken for 3 s where it is longer,
-# and 0.7 s. What comes later than 0.7 s after the signal, on a connection still open, may have less than its
-# own time: it is answered so long before the end, for the way to the client and a late loop.
-DRAIN_LONGEST, DRAIN_BEYOND, DRAIN_MARGIN = 3 * SECOND, 700 * MS, 100 * MS
-HELD_SHARE = 0.5  # of an attempt's time: later, an answer of unknown length is not held to be tried again
+# After SIGTERM the process is killed no sooner than the longest deadline (capped at 3 s) plus 0.7 s. A
+# request that arrives more than 0.7 s after the signal on an open connection may get less than its own
+# deadline: it is answered DRAIN_MARGIN before the kill, for the way to the client and loop lag.
+MAX_DRAIN_DEADLINE, DRAIN_KILL_GRACE, DRAIN_MARGIN = 3 * SECOND, 700 * MS, 100 * MS
+# Fraction of an attempt's timeout in which an answer of unknown length is buffered, so that the request can
+# still be retried; later it is streamed.
+MAX_BUFFERING_SHARE = 0.5
 
 
 class Host:
@@ -59,7 +62,7 @@
         self._open: dict[int, Open] = {}
         self._last_id = 0
         self._events: deque[api.Event] = deque()
-        self._busy = False
+        self._handling = False
         self._actions: dict[type, Callable[[Any], None]] = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
             api.SetTimer: self._set_timer, api.Probe: self._probe, api.Log: self._log,
@@ -67,252 +70,266 @@
             api.Watch: lambda a: self.watch(a.on),
             api.Tell: lambda a: self.tell(a.peer, a.body),
         }  # fmt: skip
-        self._know_classes()
-        # Set by the parts that do them.
+        self._set_classes()
+        # Callbacks that are set by discovery, peers and recovery.
         self.watch: Callable[[bool], None] = lambda on: None
         self.tell: Callable[[int, bytes], None] = lambda peer, body: None
-        self.listed = False  # whether any endpoint has been named yet
-        self.heard: Callable[[HostList, int], None] = lambda told, kind: None
-        self._told = asyncio.Event()  # set once discovery has told or confirmed the list to this process
-        self.handed = False  # whether the process before has handed over a list that is fresh
+        self.listed = False  # whether any endpoint is known yet
+        self.heard: Callable[[HostList, int], None] = lambda host_list, kind: None
+        self._list_received = asyncio.Event()  # set once discovery has sent or confirmed the list
+        self.handed = False  # whether the previous process has handed over a fresh list
         self._start_deadline = self.now() + START_TIMEOUT
-        self._killed_at: int | None = None  # once told to stop: all is answered by then
+        self._drain_deadline: int | None = None  # set on SIGTERM: every request is answered by then
 
     # ---- events
 
     def start(self, known: HostList) -> None:
-        self._status_at(self._loop.time() + STATUS_EVERY)
+        self._schedule_status(self._loop.time() + STATUS_EVERY)
         self.post(api.Attached())
         self.learn(known, api.ListKind.CACHED)
 
-    def _status_at(self, due: float) -> None:
+    def _schedule_status(self, due: float) -> None:
         def status() -> None:
             now = self._loop.time()
-            self._status_at(now + STATUS_EVERY)
+            self._schedule_status(now + STATUS_EVERY)
             self.standing.status(now - due)
 
         self._loop.call_at(due, status)
 
-    def _know_classes(self) -> None:
-        self._numbers = {c.name: number for number, c in enumerate(self._settings.classes)}
+    def _set_classes(self) -> None:
+        self._class_numbers = {c.name: number for number, c in enumerate(self._settings.classes)}
         self.telemetry.know(self._settings.classes)
 
     def retune(self, config: Config) -> None:
-        """Take up other settings, for the requests to come."""
+        """Apply changed settings to requests that arrive from now on."""
         self._settings = config.settings
-        self._know_classes()
+        self._set_classes()
         self.upstream.retune(config)
         self._access = AccessLog(config.log.access_per_s)
         self.post(api.Retuned(config.settings))
 
     def drain(self) -> None:
-        """The process was told to stop, and will be killed."""
+        """Start the drain: the process was told to stop and will be killed."""
         longest = max(cls.limit for cls in self._settings.classes)
-        self._killed_at = self.now() + min(longest, DRAIN_LONGEST) + DRAIN_BEYOND - DRAIN_MARGIN
+        self._drain_deadline = self.now() + min(longest, MAX_DRAIN_DEADLINE) + DRAIN_KILL_GRACE - DRAIN_MARGIN
 
     def _expiry(self, now: int, deadline: int) -> int:
-        """When a request that is whole now has to be answered."""
+        """Return when a request that is complete now has to be answered."""
         expires = now + deadline - DEADLINE_MARGIN if deadline > DEADLINE_MARGIN else now
-        return expires if self._killed_at is None else min(expires, self._killed_at)
+        return expires if self._drain_deadline is None else min(expires, self._drain_deadline)
 
     def learn(self, told: HostList, kind: int) -> None:
+        """Apply a host list of that `api.ListKind`."""
         self.listed = self.listed or bool(told.hosts)
         if kind != api.ListKind.CACHED:
-            self._told.set()
+            self._list_received.set()
         self.upstream.learn(told.hosts, whole=kind != api.ListKind.DELTA)
         self.telemetry.keep_engines(self.upstream)
         self.heard(told, kind)
         self.post(api.EndpointList(kind, tuple(host.endpoint for host in told.hosts)))
 
     def recall(self, learned: api.Learned, age: int) -> None:
-        """Go on from what the process before had learned, so many nanoseconds ago."""
+        """Continue from what the previous process had learned `age` nanoseconds ago."""
         self.post(api.Recalled(learned, age))
 
     def learned(self) -> api.Learned:
         return self._balancer.learned(self.now())
 
     def confirm(self) -> None:
-        """Discovery has answered that the list in hand is the newest."""
-        self._told.set()
+        """Note that discovery has confirmed the current list as the newest."""
+        self._list_received.set()
 
     @property
     def informed(self) -> bool:
-        """Whether engines are known, by a list from discovery unless that is long in coming."""
+        """Whether engines are known, from a confirmed list or because START_TIMEOUT has passed."""
         return self.listed and self.may_take_clients
 
     @property
     def may_take_clients(self) -> bool:
-        """Whether discovery, or the process before, has told the list, or is too long in telling it."""
-        return self._told.is_set() or self.handed or self.now() >= self._start_deadline
+        """Whether discovery or the previous process has provided a list, or START_TIMEOUT has passed."""
+        return self._list_received.is_set() or self.handed or self.now() >= self._start_deadline
 
     async def until_informed(self) -> None:
-        """Wait until clients may be taken. A timer may come a moment early, so the clock is asked again."""
+        """Wait until clients may be accepted. Timers can fire slightly early, so the clock is read again."""
         while not self.may_take_clients:
-            left = (self._start_deadline - self.now()) / SECOND
+            seconds_left = (self._start_deadline - self.now()) / SECOND
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._told.wait(), left + TIMER_EARLY)
+                await asyncio.wait_for(self._list_received.wait(), seconds_left + TIMER_EARLY)
 
     def post(self, event: api.Event) -> None:
-        """Take an event. What an action brings about at once waits until the other actions are done."""
+        """Handle an event. Events that its actions cause are queued until all its actions are done."""
         self._events.append(event)
-        if self._busy:
+        if self._handling:
             return
-        self._busy = True
+        self._handling = True
         try:
             while self._events:
                 self._step(self._events.popleft())
         finally:
-            self._busy = False
+            self._handling = False
 
     def _step(self, event: api.Event) -> None:
         try:
             actions = self._balancer.handle(self.now(), event)
         except Exception:
-            # A fault in one decision must not take the others down. Its request fails at the deadline.
+            # An exception in one decision must not affect others. Its request fails at the deadline.
             log.exception("fault", extra={"fields": {"handling": type(event).__name__}})
             return
         for action in actions:
             try:
                 self._actions[type(action)](action)
             except Exception:
-                # The others are carried out all the same: among them may be the timer of the decisions.
+                # The remaining actions are still carried out: the balancer's timer may be among them.
                 log.exception("fault", extra={"fields": {"doing": type(action).__name__}})
 
     def count(self, name: str) -> None:
-        """Count what the fleet pays for together, such as a handshake or a call to discovery."""
+        """Count an event that loads the whole fleet, such as a handshake or a call to discovery."""
         self.telemetry.events[name] += 1
 
     # ---- requests
 
-    def request(self, client: Client, incoming: Incoming, room: int, upload: Stream | None = None) -> None:
-        """Take a request; the client is answered once, unless `gone` tells that it left.
+    def request(
+        self, client: Client, incoming: Incoming, reservation: int, upload: Stream | None = None
+    ) -> None:
+        """Add a request to the ledger; its client is answered exactly once unless `gone` is called first.
 
-        The memory reserved for it is the ledger's from here on. That of a long one is not yet whole:
-        `uploaded` tells when it is.
+        The ledger takes over `reservation`, the bytes reserved in the budget. With `upload` the body is still
+        arriving: `uploaded` is called once it is complete.
         """
         self.count("requests")
         self._last_id += 1
         rid, now = self._last_id, self.now()
         expires = self._expiry(now, incoming.deadline)
-        cls = self._settings.classes[self._numbers[incoming.cls]]
+        cls = self._settings.classes[self._class_numbers[incoming.cls]]
         request = self._open[rid] = Open(
-            rid, client, incoming, expires, self._settings.max_attempts, room, upload, cls.effect,
-            self._sent,
+            rid, client, incoming, expires, self._settings.max_attempts, reservation, upload, cls.effect,
+            self._first_byte_sent,
         )  # fmt: skip
         client.id = rid
         if upload is None:
-            self._take(request)
+            self._request_received(request)
         self.post(
             api.Request(
                 rid,
-                self._numbers[incoming.cls],
+                self._class_numbers[incoming.cls],
                 incoming.tenant,
                 incoming.key,
                 expires,
                 incoming.hint,
                 incoming.repeat,
-                request.coming,
+                request.uploading,
             )
         )
 
-    def _take(self, request: Open) -> None:
-        """Its last byte has come."""
-        request.taken, request.began = True, self.now()
+    def _request_received(self, request: Open) -> None:
+        """Note that the last byte of a request has arrived, and start its deadline timer."""
+        request.received, request.received_at = True, self.now()
         self.telemetry.in_progress += 1
         if log.isEnabledFor(logging.DEBUG):
-            tell(log, logging.DEBUG, "taken", request=request.id, req_id=request.name)
-        left = (request.expires - request.began) / SECOND
-        request.deadline = self._loop.call_later(left, self._at_deadline, request)
+            tell(log, logging.DEBUG, "taken", request=request.id, req_id=request.req_id)
+        seconds_left = (request.expires - request.received_at) / SECOND
+        request.deadline_timer = self._loop.call_later(seconds_left, self._at_deadline, request)
 
     def uploaded(self, rid: int) -> None:
-        """The last byte of a long request has come, and its time runs from now."""
+        """Note that the last byte of a streamed request has arrived; its deadline counts from now."""
         request = self._open.get(rid)
         if request is None or request.answered:
             return
-        now, request.coming = self.now(), False
+        now, request.uploading = self.now(), False
         request.sent_at, request.expires = now, self._expiry(now, request.incoming.deadline)
-        request.until = request.expires
-        self._take(request)
+        request.attempt_deadline = request.expires
+        self._request_received(request)
         if request.attempt is not None:
-            self._wait(request, request.attempt)
+            self._set_attempt_timeout(request, request.attempt)
         self.post(api.Uploaded(rid, request.expires))
 
     def gone(self, rid: int) -> None:
-        """The client left. An attempt whose request is out goes on: ending it would only cost a connection.
-        One that waits for its connection ends once that is up, for others to use (`Open.wanted`); one that is
-        out in part ends at once, so that it never runs."""
-        if (request := self._conclude(rid)) is not None:
-            self.ended(rid)
+        """Handle a client that left. An attempt whose request has been sent completely goes on: ending it
+        would only cost a connection. One that waits for a connection ends once that is up, so that others
+        can use it (`Open.wanted`); one that is partly sent ends at once, so that the server never runs it."""
+        if (request := self._mark_answered(rid)) is not None:
+            self.finish_request(rid)
             self.post(api.Gone(rid))
             if request.attempt is not None and request.attempt.partial:
                 request.attempt.abandon(Outcome.CANCELLED)
 
-    def ended(self, rid: int, broken: bool = False) -> None:
-        """The final answer has left, or broke on the way here, or nobody is there to get it."""
+    def finish_request(self, rid: int, broken: bool = False) -> None:
+        """Finish a request whose final answer has been sent, was cut short (`broken`) or has no receiver."""
         request = self._open.get(rid)
-        if request is None or request.ended:
+        if request is None or request.finished:
             return
-        request.ended, request.leaving = True, 0
+        request.finished, request.outgoing_size = True, 0
         if log.isEnabledFor(logging.DEBUG):
-            tell(log, logging.DEBUG, "ended", request=request.id, req_id=request.name, broken=broken)
-        self.telemetry.in_progress -= request.taken
-        tally = self.telemetry.bad_gateway if broken else request.tally
-        if tally is not None:
-            tally[request.incoming.cls] += 1
+            tell(
+                log,
+                logging.DEBUG,
+                "ended",
+                request=request.id,
+                req_id=request.req_id,
+                broken=broken,
+            )
+        self.telemetry.in_progress -= request.received
+        outcome_counts = self.telemetry.bad_gateway if broken else request.outcome_counts
+        if outcome_counts is not None:
+            outcome_counts[request.incoming.cls] += 1
         now = self.now()
-        if tally is self.telemetry.passed:
-            self.telemetry.latency[request.incoming.cls].observe(now - request.began)
+        if outcome_counts is self.telemetry.passed:
+            self.telemetry.latency[request.incoming.cls].observe(now - request.received_at)
         if self._access.on and self._access.wants(now):
-            self._tell_access(request, now, tally)
-        self._settle(request)
-
-    def _tell_access(self, request: Open, now: int, tally: Counter[str] | None) -> None:
-        told = self.telemetry
-        outcomes = ((told.passed, "served"), (told.dropped, "refused"), (told.bad_gateway, "failed"))
+            self._log_access(request, now, outcome_counts)
+        self._release(request)
+
+    def _log_access(self, request: Open, now: int, outcome_counts: Counter[str] | None) -> None:
+        telemetry = self.telemetry
+        outcomes = (
+            (telemetry.passed, "served"),
+            (telemetry.dropped, "refused"),
+            (telemetry.bad_gateway, "failed"),
+        )
         self._access.tell(
             request=request.id,
-            req_id=request.name,
+            req_id=request.req_id,
             cls=request.incoming.cls,
-            outcome=next((name for counter, name in outcomes if counter is tally), "client gone"),
+            outcome=next((name for counter, name in outcomes if counter is outcome_counts), "client gone"),
             attempts=request.attempts,
             engine=self.upstream.name(request.endpoint) if request.attempts else "",
-            took_ms=round((now - request.began) / MS, 1),
+            took_ms=round((now - request.received_at) / MS, 1),
             attempt_ms=round((now - request.sent_at) / MS, 1) if request.attempts else 0.0,
         )
 
-    def turn_down(self, incoming: Incoming) -> None:
-        """Count a request refused for want of memory, which never came into the ledger."""
+    def count_memory_refusal(self, incoming: Incoming) -> None:
+        """Count a request that was refused for lack of memory and never entered the ledger."""
         self.count("no_room")
         self.telemetry.dropped[incoming.cls] += 1
 
     def _at_deadline(self, request: Open) -> None:
-        request.deadline = None
-        # Timers count in milliseconds, so this may be early by one: for the decisions too, time is over now.
+        request.deadline_timer = None
+        # Timers have millisecond resolution, so this may be 1 ms early; the balancer must see it as expired.
         request.expires = min(request.expires, self.now())
         if request.attempt is not None:
             request.attempt.abandon(Outcome.TIMEOUT)
         if not request.answered:
-            # The decisions answer each request by now; whatever keeps them from it, none is lost.
+            # The balancer should have answered by now; this catches every case in which it did not.
             tell(log, logging.ERROR, "request left unanswered until its deadline", request=request.id)
             self._fail(api.Fail(request.id, api.Reason.EXPIRED))
             self.post(api.Gone(request.id))
 
-    def _settle(self, request: Open) -> None:
-        """Keep the memory that is still needed; drop what has ended and has no attempt out."""
+    def _release(self, request: Open) -> None:
+        """Release memory that is no longer needed; drop a request that has finished and has no attempt."""
         active = not request.answered or request.attempt is not None
-        room = (request.room if active else 0) + request.leaving
-        self.budget.give(request.held - room)
-        request.held = room
+        reserved = (request.reservation if active else 0) + request.outgoing_size
+        self.budget.give(request.reserved - reserved)
+        request.reserved = reserved
         if active:
             return
-        if request.deadline is not None:
-            request.deadline.cancel()
-            request.deadline = None
-        if request.ended:
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+            request.deadline_timer = None
+        if request.finished:
             self._open.pop(request.id, None)
 
-    def _conclude(self, rid: int) -> Open | None:
-        """The request if it is still owed its final answer, which the caller then gives."""
+    def _mark_answered(self, rid: int) -> Open | None:
+        """Mark a request as answered and return it; None if it already was. The caller sends the answer."""
         request = self._open.get(rid)
         if request is None or request.answered:
             return None
@@ -324,22 +341,24 @@
     def _send(self, action: api.Send) -> None:
         request, now = self._open.get(action.id), self.now()
         if request is not None and request.attempt is not None:
-            self.rules.broken(Rule.SENT_SECOND, request=request.id, req_id=request.name)
-            self._moot(action, request)
+            self.rules.broken(Rule.SENT_SECOND, request=request.id, req_id=request.req_id)
+            self._complete_as_moot(action, request)
             return
         if request is None or request.answered:
-            self._moot(action, request)
+            self._complete_as_moot(action, request)
             return
-        spent = request.upload is not None and request.upload.started  # what was handed on is held no more
-        late = not request.coming and now >= request.expires
-        if spent or late or not self.rules.may_repeat(request, action.before):
-            self._moot(action, request)
+        body_forwarded = (
+            request.upload is not None and request.upload.started
+        )  # what was forwarded is not buffered any more
+        expired = not request.uploading and now >= request.expires
+        if body_forwarded or expired or not self.rules.may_repeat(request, action.before):
+            self._complete_as_moot(action, request)
             return
         if request.attempts:
-            self._tell_retry(request, action)
+            self._record_retry(request, action)
         number, request.attempts = request.attempts, request.attempts + 1
-        request.sent_at, request.endpoint, request.until = now, action.endpoint, request.expires
-        request.before = action.before
+        request.sent_at, request.endpoint, request.attempt_deadline = now, action.endpoint, request.expires
+        request.retry_before = action.before
         if self.standing.is_cold(action.endpoint):
             self.count("cold_sends")
         done = partial(self._completed, request, number)
@@ -347,7 +366,7 @@
             action.endpoint,
             partial(request.payload, self.now),
             done,
-            partial(self._written, request),
+            partial(self._last_byte_sent, request),
             request,
             request.upload,
         )
@@ -355,96 +374,98 @@
             done(Outcome.CONNECT_FAILED, None)
             return
         request.attempt, request.timeout = attempt, action.timeout
-        if not request.coming:
-            self._wait(request, attempt)
+        if not request.uploading:
+            self._set_attempt_timeout(request, attempt)
         attempt.start()
 
-    def _tell_retry(self, request: Open, action: api.Send) -> None:
-        self.telemetry.retries[request.last] += 1
+    def _record_retry(self, request: Open, action: api.Send) -> None:
+        self.telemetry.retries[request.last_outcome] += 1
         if log.isEnabledFor(logging.DEBUG):
             tell(
-                log, logging.DEBUG, "retry", request=request.id, req_id=request.name,
-                attempt=request.attempts + 1, after=OUTCOMES[request.last],
+                log, logging.DEBUG, "retry", request=request.id, req_id=request.req_id,
+                attempt=request.attempts + 1, after=OUTCOMES[request.last_outcome],
                 server=self.upstream.name(action.endpoint),
             )  # fmt: skip
 
-    def _sent(self, request: Open, pool: Pool) -> None:
-        """The first byte of an attempt has gone out."""
+    def _first_byte_sent(self, request: Open, pool: Pool) -> None:
+        """Check the rules once the first byte of an attempt has been sent."""
         self.rules.sent(request, pool, self.now())
 
-    def _wait(self, request: Open, attempt: Attempt) -> None:
-        """Wait for this attempt no longer than was decided; half of that for the whole of a short answer."""
+    def _set_attempt_timeout(self, request: Open, attempt: Attempt) -> None:
+        """Limit the attempt to the timeout that was decided, and set from when its answer is streamed."""
         if request.timeout and request.sent_at + request.timeout < request.expires:
-            request.until = request.sent_at + request.timeout
-            request.patience = self._loop.call_later(
+            request.attempt_deadline = request.sent_at + request.timeout
+            request.attempt_timer = self._loop.call_later(
                 request.timeout / SECOND, attempt.abandon, Outcome.TIMEOUT
             )
-        attempt.hasten(time.monotonic_ns() + int((request.until - request.sent_at) * HELD_SHARE))
+        attempt.hasten(
+            time.monotonic_ns() + int((request.attempt_deadline - request.sent_at) * MAX_BUFFERING_SHARE)
+        )
 
-    def _written(self, request: Open) -> None:
-        """The last byte of an attempt has gone out."""
+    def _last_byte_sent(self, request: Open) -> None:
+        """Count an attempt whose last byte has been sent."""
         self.telemetry.upstream_tries += 1
         if log.isEnabledFor(logging.DEBUG):
             tell(
-                log, logging.DEBUG, "sent", request=request.id, req_id=request.name,
+                log, logging.DEBUG, "sent", request=request.id, req_id=request.req_id,
                 attempt=request.attempts, server=self.upstream.name(request.endpoint),
             )  # fmt: skip
 
-    def _moot(self, action: api.Send, request: Open | None) -> None:
-        over = request is None or request.answered
+    def _complete_as_moot(self, action: api.Send, request: Open | None) -> None:
+        answered = request is None or request.answered
         number = request.attempts if request else 0
-        self.post(api.Completed(action.id, number, action.endpoint, Outcome.MOOT, 0, over, ()))
+        self.post(api.Completed(action.id, number, action.endpoint, Outcome.MOOT, 0, answered, ()))
 
     def _completed(self, request: Open, number: int, outcome: int, answer: Answer | None) -> None:
-        request.attempt, request.last = None, outcome
+        request.attempt, request.last_outcome = None, outcome
         request.may_have_run = request.may_have_run or may_have_run(outcome)
         self.count(OUTCOMES[outcome])
-        if request.patience is not None:
-            request.patience.cancel()
-            request.patience = None
-        if outcome == Outcome.OK and answer is not None and self._conclude(request.id) is not None:
-            request.tally = self.telemetry.passed
-            request.leaving = len(answer.body) if answer.rest is None else READ_MOST
+        if request.attempt_timer is not None:
+            request.attempt_timer.cancel()
+            request.attempt_timer = None
+        if outcome == Outcome.OK and answer is not None and self._mark_answered(request.id) is not None:
+            request.outcome_counts = self.telemetry.passed
+            request.outgoing_size = len(answer.body) if answer.rest is None else MAX_READ_SIZE
             if log.isEnabledFor(logging.DEBUG):
                 size = None if answer.rest is None else answer.rest.length
                 tell(
-                    log, logging.DEBUG, "answer begins", request=request.id, req_id=request.name,
+                    log, logging.DEBUG, "answer begins", request=request.id, req_id=request.req_id,
                     long=answer.rest is not None, size=size,
                 )  # fmt: skip
             request.client.serve(answer)
         elif answer is not None and answer.rest is not None:
-            answer.rest.drop()  # the client has left meanwhile
-        over = request.answered
-        self._settle(request)
+            answer.rest.drop()  # the client has left in the meantime
+        answered = request.answered
+        self._release(request)
         took, report = self.now() - request.sent_at, self.upstream.report(answer)
         if answer is not None and answer.rest is not None:
-            # Of a long one the time to its head: how long it was held here is no wait there.
-            took -= time.monotonic_ns() - answer.headed
+            # For a streamed answer, count only the time to its head, not the time it was buffered here.
+            took -= time.monotonic_ns() - answer.head_time_ns
         self.telemetry.attempt_ended(request.endpoint, outcome, took)
-        self.post(api.Completed(request.id, number, request.endpoint, outcome, took, over, report))
+        self.post(api.Completed(request.id, number, request.endpoint, outcome, took, answered, report))
 
     def _refuse(self, action: api.Refuse) -> None:
-        if (request := self._conclude(action.id)) is not None:
-            request.tally = self.telemetry.dropped
-            self._tell_refusal(request, action.why)
+        if (request := self._mark_answered(action.id)) is not None:
+            request.outcome_counts = self.telemetry.dropped
+            self._record_refusal(request, action.why)
             self.count("refused_late" if request.attempts else "refused_unsent")
             request.client.refuse(action.stay_away)
-            self._settle(request)
+            self._release(request)
 
     def _fail(self, action: api.Fail) -> None:
-        if (request := self._conclude(action.id)) is not None:
-            request.tally = self.telemetry.bad_gateway
-            self._tell_refusal(request, action.why)
-            request.client.fail(request.last == Outcome.TIMEOUT)
-            self._settle(request)
-
-    def _tell_refusal(self, request: Open, why: api.Reason) -> None:
-        """Count a request that is refused or failed here."""
+        if (request := self._mark_answered(action.id)) is not None:
+            request.outcome_counts = self.telemetry.bad_gateway
+            self._record_refusal(request, action.why)
+            request.client.fail(request.last_outcome == Outcome.TIMEOUT)
+            self._release(request)
+
+    def _record_refusal(self, request: Open, why: api.Reason) -> None:
+        """Count and log a request that is refused or failed here."""
         self.telemetry.refusals[why] += 1
         if log.isEnabledFor(logging.DEBUG):
             tell(
-                log, logging.DEBUG, "turned down", request=request.id, req_id=request.name, reason=why.value,
-                attempts=request.attempts,
+                log, logging.DEBUG, "turned down", request=request.id, req_id=request.req_id,
+                reason=why.value, attempts=request.attempts,
             )  # fmt: skip
 
     def _cancel(self, action: api.Cancel) -> None:
--- a/sprucenotch/node/ledger.py
+++ b/sprucenotch/node/ledger.py
@@ -1,4 +1,4 @@
-"""A request in the ledger, and what its client and its head say."""
+"""A request in the ledger, its parsed head and the interface to its client."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class Client(Protocol):
-    """Where the final answer of a request goes. It says when that has left, by `Host.ended`."""
+    """The receiver of a request's final answer. It calls `Host.finish_request` once that has been sent."""
 
-    id: int  # the request's, here
+    id: int  # of the request in the ledger
 
     def serve(self, answer: Answer) -> None: ...
 
@@ -27,31 +27,32 @@
     def fail(self, timed_out: bool) -> None: ...
 
     def connected(self) -> bool:
-        """Ask the socket whether the client is there; if not, `Host.gone` is called before this returns."""
+        """Check the socket for the client's end; if it left, call `Host.gone` before returning False."""
 
 
 class Incoming(NamedTuple):
-    """A request as the client sent it, checked."""
+    """A request as the client sent it, validated."""
 
-    name: bytes  # its id
+    req_id: bytes
     cls: str
     tenant: int
     key: int
-    deadline: int
+    deadline: int  # nanoseconds from when the request is complete
     hint: int
     repeat: bool
-    head: bytes  # the request line and the headers that go on, but for the deadline and the empty line
-    body: bytes  # empty where it comes as a stream
+    head: bytes  # the request line and the forwarded headers, without the deadline and the empty line
+    body: bytes  # empty if it is streamed
 
 
 class Open:
-    """A request in the ledger: owed its final answer or the rest of it, or with an attempt still out."""
+    """A request in the ledger: its answer is not fully sent yet, or an attempt is still under way."""
 
     __slots__ = (
-        "_on_sent", "answered", "attempt", "attempts", "before", "began", "client", "coming", "deadline",
-        "effect", "ended", "endpoint", "expires", "held", "id", "incoming", "last", "leaving",
-        "may_have_run", "patience", "room", "sent_at", "taken", "tally", "timeout", "told_deadline",
-        "tries", "until", "upload",
+        "_on_sent", "answered", "attempt", "attempt_deadline", "attempt_timer", "attempts", "client",
+        "deadline_timer", "effect", "endpoint", "expires", "finished", "id", "incoming", "last_outcome",
+        "max_attempts", "may_have_run", "outcome_counts", "outgoing_size", "received", "received_at",
+        "reservation", "reserved", "retry_before", "sent_at", "sent_deadline", "timeout", "upload",
+        "uploading",
     )  # fmt: skip
 
     def __init__(
@@ -60,50 +61,55 @@
         client: Client,
         incoming: Incoming,
         expires: int,
-        tries: int,
-        room: int,
+        max_attempts: int,
+        reservation: int,
         upload: Stream | None,
         effect: int,
         on_sent: Callable[[Open, Pool], None],
     ) -> None:
-        self.effect = effect  # of its class when it came
+        self.effect = effect  # of its class when it arrived
         self._on_sent = on_sent
         self.may_have_run = False
-        self.told_deadline = 0  # nanoseconds, as its last attempt told its server
+        self.sent_deadline = 0  # nanoseconds, as sent to the server with the last attempt
         self.id, self.client, self.incoming, self.expires = rid, client, incoming, expires
-        self.room = self.held = room  # memory reserved at its head, and what of it is held now
+        self.reservation = self.reserved = reservation  # bytes: reserved at first, and still reserved now
         self.upload = upload
-        self.tries = tries  # as many as the settings allowed when it came
-        self.coming = upload is not None  # its last byte has not come: its time does not run yet
-        self.taken = False
-        self.began = 0  # when it was whole
-        self.answered = self.ended = False
-        self.tally: Counter[str] | None = None  # what its final answer counts as
-        self.leaving = 0  # memory that the answer on its way out holds
-        self.attempts = self.sent_at = self.until = self.timeout = self.before = 0
+        self.max_attempts = max_attempts  # by the settings in force when it arrived
+        self.uploading = upload is not None  # its last byte has not arrived: the deadline does not count yet
+        self.received = False  # completely
+        self.received_at = 0  # when its last byte arrived
+        self.answered = self.finished = False
+        self.outcome_counts: Counter[str] | None = None  # counts final answers of its kind by class
+        self.outgoing_size = 0  # bytes held by the answer that is being sent
+        self.attempts = self.sent_at = self.attempt_deadline = self.timeout = self.retry_before = 0
         self.attempt: Attempt | None = None
         self.endpoint: api.EndpointId = b""
-        self.last = -1  # the outcome of the last attempt
-        self.deadline: asyncio.TimerHandle | None = None
-        self.patience: asyncio.TimerHandle | None = None
+        self.last_outcome = -1  # the outcome of the last attempt
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.attempt_timer: asyncio.TimerHandle | None = None
 
     def sent(self, pool: Pool) -> None:
-        """The first byte of an attempt has gone out to that server."""
+        """Report that the first byte of an attempt has been sent to that server."""
         self._on_sent(self, pool)
 
     @property
-    def name(self) -> str:
-        """The id that its client gave it."""
-        return self.incoming.name.decode("latin-1")
+    def req_id(self) -> str:
+        """The Req-Id header that the client sent."""
+        return self.incoming.req_id.decode("latin-1")
 
     def wanted(self, now: int) -> bool:
-        """Whether it may go out: there is time for its answer, a repeat is still harmless, and the client
-        waits for it at this moment: the socket is asked, as the loop may not have heard of its end yet."""
-        if self.answered or (now >= self.expires and not self.coming):
+        """Whether an attempt may be sent now: the deadline is not over, a repeat is still harmless, and the
+        client is still connected. The socket is checked, as the loop may not have seen the client's end."""
+        if self.answered or (now >= self.expires and not self.uploading):
             return False
-        return (not self.before or now < self.before) and self.client.connected()
+        return (not self.retry_before or now < self.retry_before) and self.client.connected()
 
     def payload(self, now: Callable[[], int]) -> bytes:
-        left = self.incoming.deadline if self.coming else max(0, self.until - now())
-        self.told_deadline = left
-        return b"%sReq-Deadline: %.3f\r\n\r\n%s" % (self.incoming.head, left / SECOND, self.incoming.body)
+        """Build the bytes of an attempt: the head with the time left, and a buffered body."""
+        time_left = self.incoming.deadline if self.uploading else max(0, self.attempt_deadline - now())
+        self.sent_deadline = time_left
+        return b"%sReq-Deadline: %.3f\r\n\r\n%s" % (
+            self.incoming.head,
+            time_left / SECOND,
+            self.incoming.body,
+        )
--- a/sprucenotch/node/listener.py
+++ b/sprucenotch/node/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets: bound so that a restart or a successor can have the same address."""
+"""Listening sockets, bound so that a restarted or a successor process can use the same address."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from sprucenotch.node.log import event
 from sprucenotch.seams.system_errors import retried
 
-BACKLOG = 512  # connections that may wait in the kernel's queue
-# Seconds for which an address that cannot be had is tried again, as a restart has 6 s to be ready.
+BACKLOG = 512  # connections in the kernel's queue
+# Seconds in which a failed bind or listen is retried; a restarted process has 6 s to be ready.
 BIND_TIMEOUT = 1.0
-SO_ATTACH_REUSEPORT_CBPF = 51  # as Linux numbers it; Python has no name for it
+SO_ATTACH_REUSEPORT_CBPF = 51  # Linux's value; missing in Python's socket module
 RETURN_1 = struct.pack("HBBI", 0x06, 0, 0, 1)  # a classic BPF program of one instruction: "ret #1"
 
 log = logging.getLogger(__name__)
 
 
 async def bound(address: Address, shared: bool = False) -> socket.socket:
-    """A socket that is bound to the address; a successor can bind it too where it is shared. What fails on
-    this machine is tried again for BIND_TIMEOUT. Raises OSError."""
+    """Return a socket bound to the address; if `shared`, a successor process can bind it too. Transient local
+    failures are retried for BIND_TIMEOUT. Raises OSError."""
 
     async def bind() -> socket.socket:
         return bind_now(address, shared)
@@ -33,7 +33,7 @@
 def bind_now(
     address: Address, shared: bool = False, kind: socket.SocketKind = socket.SOCK_STREAM
 ) -> socket.socket:
-    """The same, tried once."""
+    """Like `bound`, without retries."""
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, kind)
     try:
         if kind == socket.SOCK_STREAM:
@@ -48,7 +48,7 @@
 
 
 async def listening(listener: socket.socket) -> socket.socket:
-    """The same socket, which takes connections from now on. Raises OSError, as `bound` does."""
+    """Start listening and return the same socket. Retries and raises OSError as `bound` does."""
 
     async def listen() -> socket.socket:
         listener.listen(BACKLOG)
@@ -58,15 +58,16 @@
 
 
 def steer_to_successor(listener: socket.socket) -> None:
-    """Send new connections to the second process that listens here, which is the younger one.
+    """Direct new connections to the second process that listens on the address, the successor.
 
-    What waits in a listener's queue is reset when it closes, so the queue has to be empty by then. Alone,
-    this process is the first and the kernel, finding no second, goes on giving it all. The program stays
-    with the address: a later successor gets the new connections as soon as it listens, and can serve them.
+    The kernel resets the connections in a listener's queue when it closes, so the queue has to be empty by
+    then. While there is no second listener, the kernel gives all connections to the first, this process. The
+    BPF program stays attached to the address: a later successor gets the new connections as soon as it
+    listens, and can serve them.
     """
     code = array.array("B", RETURN_1)
     program = struct.pack("HxxxxxxP", 1, code.buffer_info()[0])
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
-    except OSError as problem:  # then both go on sharing them until this one's listener closes
+    except OSError as problem:  # then both share them until this listener closes
         event(log, logging.WARNING, "new connections cannot be steered to a successor", why=str(problem))
--- a/sprucenotch/node/patience.py
+++ b/sprucenotch/node/patience.py
@@ -1,36 +1,38 @@
-"""How long a peer is waited for whose request has not come whole. Fed the time that passes; has no clock."""
+"""Time limits for an incomplete request. The caller passes in the elapsed time; there is no clock here."""
 
 from __future__ import annotations
 
-# A client may take 2 s for a head and send its body at 64 kB a second; a peer that sends no whole request is
-# owed an error or a close within 3 s. So a head has more than the one and less than the other, and a body is
-# judged only once its peer was waited for that long: by its pauses, and by its rate, which may lag a second.
-HEAD_WITHIN = 2.5
-JUDGED_FROM = 2.7
-PAUSE_MOST = 1.1  # seconds without a byte
-RATE_LEAST, RATE_LAG = 48_000, 1.0  # bytes a second, from so long after the head
+# A client may take 2 s for a head and send its body at 64 kB/s; a peer that sends no complete request must
+# get an error or a close within 3 s. So the limit for a head lies between the two, and a body is checked only
+# after BODY_CHECK_START: for pauses, and for its rate, which may lag by a second. Times are in seconds.
+HEAD_TIMEOUT = 2.5
+BODY_CHECK_START = 2.7
+MAX_BODY_PAUSE = 1.1  # without a byte
+MIN_BODY_RATE, BODY_RATE_LAG = 48_000, 1.0  # bytes a second, counted from so long after the head
 
 
 class Patience:
-    """The wait for one request."""
+    """The time limits of one request."""
 
-    __slots__ = ("_headed_at", "_quiet", "_spent")
+    __slots__ = ("_elapsed", "_head_time", "_idle")
 
     def __init__(self) -> None:
-        self._spent = self._quiet = 0.0  # seconds that the request, and any byte of it, was waited for
-        self._headed_at = 0.0
+        self._elapsed = self._idle = 0.0  # seconds of waiting in all, and since the last byte
+        self._head_time = 0.0
 
-    def heard(self) -> None:
-        """A byte has come."""
-        self._quiet = 0.0
+    def byte_received(self) -> None:
+        """Note that input has arrived."""
+        self._idle = 0.0
 
     def over(self, passed: float, headed: bool, size: int) -> bool:
-        """Whether it ends here: so many seconds on, with its head come or not, and so much of its body."""
-        self._spent += passed
-        self._quiet += passed
+        """Add elapsed seconds, and return whether the wait is over, for a body of `size` bytes so far."""
+        self._elapsed += passed
+        self._idle += passed
         if not headed:
-            self._headed_at = self._spent
-            return self._spent >= HEAD_WITHIN
-        if self._spent < JUDGED_FROM:
+            self._head_time = self._elapsed
+            return self._elapsed >= HEAD_TIMEOUT
+        if self._elapsed < BODY_CHECK_START:
             return False
-        return self._quiet > PAUSE_MOST or size < RATE_LEAST * (self._spent - self._headed_at - RATE_LAG)
+        return self._idle > MAX_BODY_PAUSE or size < MIN_BODY_RATE * (
+            self._elapsed - self._head_time - BODY_RATE_LAG
+        )
--- a/sprucenotch/node/rules.py
+++ b/sprucenotch/node/rules.py
@@ -1,9 +1,9 @@
-"""The rules on what may be sent, repeated, closed and started: checked as it happens, counted where broken.
+"""Run-time checks of the rules on sending, repeating, closing and starting; counts violations.
 
-Each has one place that decides: `Attempt._write` for what is sent, `Host._send` for what is repeated,
-`ClientConnection.shut` for what is closed, `serve` for when clients are taken. What is checked here is looked
-at once more after the fact, with the clock read anew: a process that was held up in between, or a way round
-the deciding place, shows. A count above nought is a defect of the program, or of its machine.
+Each rule is enforced in one place: `Attempt._write` for sending, `Host._send` for repeating,
+`ClientConnection.shut` for closing, `serve` for accepting clients. The checks here run after the fact, with
+the clock read again, and so also detect a process that was delayed in between or a code path around the
+place that enforces the rule. A count above zero is a defect of the program or of its machine.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 log = logging.getLogger(__name__)
 
-# What a deadline, or a window for repeats, told to a server may exceed what is left, as a process may be held
-# up for so long between reading its clock and writing. Nanoseconds.
+# Nanoseconds by which a deadline or a repeat window may be exceeded before it counts as a violation: the
+# process may be delayed for that long between reading the clock and writing.
 HOLD_UP = 150_000_000
 
 
 class Rule(StrEnum):
-    """What must never happen."""
+    """Rules that must never be broken; the value is the text of the violation."""
 
     SENT_WITHDRAWN = "sent to a server that drains or is gone"
     SENT_OVERDUE = "sent after its time"
@@ -43,80 +43,84 @@
 
 
 class CloseReason(StrEnum):
-    """Why a client's connection is closed here."""
+    """Why the sidecar closes a client's connection."""
 
-    LAST_ANSWER = "last answer"  # it was the last by the client's wish, by HTTP or by the drain
-    DRAIN = "drain"  # nothing comes on it, and the process ends
-    ROOM = "room"  # another connection needs its place
-    UNUSED = "unused"  # no request came in time
+    LAST_ANSWER = "last answer"  # the client, HTTP or the drain ends the connection after it
+    DRAIN = "drain"  # it is idle, and the process is stopping
+    ROOM = "room"  # another connection needs its descriptor
+    UNUSED = "unused"  # no request arrived in time
     CLIENT_LEFT = "client left"
-    ANSWER_BROKE = "answer broke"  # it cannot be finished, and the client has to see that
-    NOT_READING = "not reading"  # the client takes no bytes
+    ANSWER_BROKE = "answer broke"  # the answer cannot be completed, and the client has to see that
+    NOT_READING = "not reading"  # the client does not read its answers
 
 
-# With these a client that is owed an answer can get none.
+# Reasons with which a client cannot get the answer to a pending request.
 UNANSWERABLE = frozenset((CloseReason.CLIENT_LEFT, CloseReason.ANSWER_BROKE, CloseReason.NOT_READING))
 
-# With these it is closed though its client may be about to use it.
+# Reasons with which a connection is closed although its client may be about to use it.
 FORCED_CLOSES = frozenset((CloseReason.DRAIN, CloseReason.ROOM, CloseReason.UNUSED))
 
 
 class Rules:
-    """Checks, and counts what breaks them."""
+    """Checks the rules, and counts and logs violations."""
 
     def __init__(self, telemetry: Telemetry) -> None:
         self._telemetry = telemetry
 
     def broken(self, rule: Rule, **ids: Any) -> None:
+        """Count and log a violation."""
         self._telemetry.violations[rule] += 1
         event(log, logging.ERROR, "rule broken", rule=rule.value, **ids)
 
     def may_repeat(self, request: Open, before: int) -> bool:
-        """Whether a further attempt of a request may be made; what the decisions ask for should be."""
+        """Whether another attempt of a request is allowed; reports a violation if it is not."""
         effect = request.effect
-        if request.attempts >= request.tries:
+        if request.attempts >= request.max_attempts:
             rule = Rule.REPEATED_TOO_OFTEN
         elif request.may_have_run and (effect == Effect.UNSAFE or (effect == Effect.KEYED and not before)):
             rule = Rule.REPEATED_HARMFUL
         else:
             return True
-        self.broken(rule, request=request.id, req_id=request.name, attempts=request.attempts)
+        self.broken(rule, request=request.id, req_id=request.req_id, attempts=request.attempts)
         return False
 
     def sent(self, request: Open, pool: Pool, now: int) -> None:
-        """Check an attempt whose first byte has just gone out."""
+        """Check an attempt whose first byte has just been sent."""
         if pool.health != Health.READY:
-            self._broken_by_send(Rule.SENT_WITHDRAWN, request, pool)
-        if request.before and now >= request.before + HOLD_UP:
-            self._broken_by_send(Rule.REPEATED_LATE, request, pool)
-        if request.coming:
+            self._report_send_violation(Rule.SENT_WITHDRAWN, request, pool)
+        if request.retry_before and now >= request.retry_before + HOLD_UP:
+            self._report_send_violation(Rule.REPEATED_LATE, request, pool)
+        if request.uploading:
             return
         if now >= request.expires + HOLD_UP:
-            self._broken_by_send(Rule.SENT_OVERDUE, request, pool)
-        if now + request.told_deadline > request.expires + HOLD_UP:
-            self._broken_by_send(Rule.SENT_DEADLINE, request, pool)
+            self._report_send_violation(Rule.SENT_OVERDUE, request, pool)
+        if now + request.sent_deadline > request.expires + HOLD_UP:
+            self._report_send_violation(Rule.SENT_DEADLINE, request, pool)
 
-    def _broken_by_send(self, rule: Rule, request: Open, pool: Pool) -> None:
-        told_ms = request.told_deadline // 1_000_000
+    def _report_send_violation(self, rule: Rule, request: Open, pool: Pool) -> None:
+        told_ms = request.sent_deadline // 1_000_000
         self.broken(
-            rule, request=request.id, req_id=request.name, attempt=request.attempts, server=pool.name,
+            rule, request=request.id, req_id=request.req_id, attempt=request.attempts, server=pool.name,
             told_ms=told_ms,
         )  # fmt: skip
 
-    def client_closed(self, reason: CloseReason, owed: bool, asked: bool, connection: int) -> None:
-        """Count a close, and check that it takes no answer from anybody."""
+    def client_closed(
+        self, reason: CloseReason, owes_answer: bool, has_unread_request: bool, connection: int
+    ) -> None:
+        """Count a closed connection, and check that no client loses its answer by it."""
         self._telemetry.client_closes[reason] += 1
         event(log, logging.DEBUG, "client closed", connection=connection, reason=reason.value)
-        if owed and reason not in UNANSWERABLE:
+        if owes_answer and reason not in UNANSWERABLE:
             self.broken(Rule.CLOSED_OWED, connection=connection, reason=reason.value)
-        if asked:
+        if has_unread_request:
             self.broken(Rule.CLOSED_ASKING, connection=connection, reason=reason.value)
 
     def started(self, may_take_clients: bool) -> None:
-        """Check that clients may be taken from now on."""
+        """Check that clients may be accepted from now on."""
         if not may_take_clients:
             self.broken(Rule.STARTED_UNINFORMED)
 
 
 def may_have_run(outcome: int) -> bool:
+    """Whether a server may have run an attempt with that outcome."""
     return outcome not in NEVER_RAN
--- a/sprucenotch/node/stream.py
+++ b/sprucenotch/node/stream.py
@@ -1,48 +1,50 @@
-"""Bodies too long to hold: passed on in pieces, no faster than the receiver takes them, in bounded memory."""
+"""Streaming of bodies that are too long to buffer, with back pressure and bounded memory."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-WHOLE_MOST = 64 * 1024  # up to here a body is held whole, so that its request can be tried again
-READ_MOST = 32 * 1024  # taken from a socket at once, so also the most that a transfer under way holds
-LONG_MOST = 32 * 1024 * 1024
-# What an answer may hold before it is known to be long: a whole one and the read that goes beyond.
-ANSWER_ROOM = WHOLE_MOST + READ_MOST
-STALLED = 10.0  # seconds without a byte moving, after which a transfer is given up; proper peers take a few
+WHOLE_MOST = 64 * 1024  # bytes; a body up to this size is buffered, so that its request can be retried
+MAX_READ_SIZE = 32 * 1024  # bytes per read, and so the most that a transfer buffers
+MAX_BODY_SIZE = 32 * 1024 * 1024  # bytes
+# Bytes that an answer may take before it is streamed: a buffered body and the read that exceeds it.
+ANSWER_RESERVATION = WHOLE_MOST + MAX_READ_SIZE
+STALL_TIMEOUT = 10.0  # seconds without progress; well-behaved peers pause for a few seconds at most
 
-# All sockets read into one buffer: what is read is parsed, and copied where it stays, within the callback.
-READ_BUFFER = memoryview(bytearray(READ_MOST))
+# All sockets share one read buffer: input is parsed, and copied if it is kept, within the read callback.
+READ_BUFFER = memoryview(bytearray(MAX_READ_SIZE))
 
 
 class Budget:
-    """The memory for all bodies held. It is reserved before anything is read, so nothing waits for it
-    holding a part: without room a request is refused."""
+    """The memory for all buffered bodies. It is reserved before a body is read, so that no request waits for
+    memory while it holds some: without memory a request is refused."""
 
     def __init__(self, most: int) -> None:
         self.most, self.used = most, 0
 
     def take(self, size: int) -> bool:
+        """Reserve so many bytes; False if they would exceed the limit."""
         if self.used + size > self.most:
             return False
         self.used += size
         return True
 
     def give(self, size: int) -> None:
+        """Release so many reserved bytes."""
         self.used -= size
 
 
 def nothing() -> None:
-    """For what nobody needs to hear of."""
+    """A callback that does nothing."""
 
 
 def ignore(on: bool) -> None:
-    """The same, of a pause."""
+    """A pause callback that does nothing."""
 
 
 class Sink(Protocol):
-    """Where a body goes. It calls the stream's `clog` when it takes no more, and again when it does."""
+    """The receiver of a body. It calls the stream's `set_paused` to pause and to resume it."""
 
     def body(self, piece: bytes) -> None: ...
 
@@ -50,60 +52,64 @@
 
 
 class Stream:
-    """A body on its way. It pauses its source while the sink is missing or does not keep up."""
+    """A body in transfer. It pauses its source while it has no sink or the sink does not keep up."""
 
     def __init__(
-        self, pause: Callable[[bool], None], length: int | None, unwanted: Callable[[], None] = nothing
+        self, pause: Callable[[bool], None], length: int | None, on_drop: Callable[[], None] = nothing
     ) -> None:
-        self._pause, self._unwanted = pause, unwanted
-        self.length = length  # None where only the end will tell it
-        self._held = bytearray()  # not pieces, which can be of a byte each
-        self._end: bool | None = None  # whether what ended is whole
+        self._pause, self._on_drop = pause, on_drop
+        self.length = length  # bytes; None if unknown until the end
+        self._buffered = bytearray()  # one buffer, as pieces may be single bytes
+        self._whole: bool | None = None  # once it has ended: whether it is complete
         self._sink: Sink | None = None
         self._dropped = False
-        self.started = False  # some of it has been handed on, and is held no more
+        self.started = False  # part of it has been forwarded and cannot be sent again
 
     def feed(self, piece: bytes) -> None:
+        """Take a piece from the source."""
         if self._sink is not None:
             self.started = True
             self._sink.body(piece)
         elif not self._dropped:
-            self._held += piece
+            self._buffered += piece
             self._pause(True)
 
     def finish(self, whole: bool) -> None:
-        if self._end is None:
-            self._end, self._pause = whole, ignore  # the source goes on to other things
+        """Note the end of the body, complete (`whole`) or cut off."""
+        if self._whole is None:
+            self._whole, self._pause = whole, ignore  # the source may carry something else by now
             if self._sink is not None:
                 self._sink.body_end(whole)
 
     def attach(self, sink: Sink) -> None:
-        """Hand on what is held and what comes from now on."""
+        """Forward what is buffered and all further pieces to the sink."""
         self._sink = sink
-        self.started = self.started or bool(self._held)
-        held, self._held = bytes(self._held), bytearray()
+        self.started = self.started or bool(self._buffered)
+        buffered, self._buffered = bytes(self._buffered), bytearray()
         self._pause(False)
-        if held:
-            sink.body(held)
-        if self._end is not None:
-            sink.body_end(self._end)
+        if buffered:
+            sink.body(buffered)
+        if self._whole is not None:
+            sink.body_end(self._whole)
 
     def detach(self) -> None:
-        """The sink is gone. Unless something was handed on, another may take its place."""
+        """Remove the sink. Another one may be attached unless part of the body has been forwarded."""
         self._sink = None
 
-    def clog(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
+        """Pause or resume the source, on behalf of the sink."""
         self._pause(on)
 
     def drop(self) -> None:
-        """Nobody wants the rest: throw away what still comes."""
+        """Discard what is buffered and all further pieces."""
         self._sink, self._dropped = None, True
-        self._held.clear()
+        self._buffered.clear()
         self._pause(False)
-        self._unwanted()
+        self._on_drop()
 
 
 def chunk(piece: bytes) -> bytes:
+    """Encode a piece as a chunk of chunked transfer coding."""
     return b"%x\r\n%s\r\n" % (len(piece), piece)
 
 
--- a/sprucenotch/node/transport.py
+++ b/sprucenotch/node/transport.py
@@ -1,8 +1,8 @@
-"""Connections over TCP: the one place where stream sockets are connected, read and written.
+"""TCP connections: the only place where stream sockets are connected, read and written.
 
-The event loop's own transports take the first transfer that fails for want of memory (ENOBUFS, ENOMEM) for
-the end of their connection. Here it is tried again, spaced by `system_errors.pauses`: what the kernel did
-not take waits in order, what it holds is read later. Sources: recv(2), send(2), shutdown(2), connect(2).
+The event loop's own transports treat the first read or write that fails for lack of memory (ENOBUFS, ENOMEM)
+as a lost connection. Here it is retried with the pauses of `system_errors.pauses`: unsent data is kept in
+order, unread data is read later. Sources: recv(2), send(2), shutdown(2), connect(2).
 """
 
 from __future__ import annotations
@@ -22,16 +22,15 @@
 from sprucenotch.node.poller import running_poller
 from sprucenotch.seams.system_errors import is_exhaustion, pauses
 
-# Seconds for which a transfer may fail without any success before its connection counts as lost. Whoever
-# waits for it has an earlier bound of his own: the request's deadline, a call's time-out, STALLED for a
-# body.
+# Seconds of failing reads or writes after which a connection counts as lost. Every waiting party has an
+# earlier limit of its own: the request's deadline, a call's timeout, STALL_TIMEOUT for a body.
 FAILING_TIMEOUT = 10.0
 
 log = logging.getLogger(__name__)
 
 
-class _Repetition:
-    """The repetitions of a transfer that fails, until it succeeds again."""
+class _Retry:
+    """The retries of a failing read or write, until it succeeds again."""
 
     __slots__ = ("_loop", "_pauses", "_timer", "give_up_at")
 
@@ -42,12 +41,12 @@
         self.give_up_at = loop.time() + FAILING_TIMEOUT
 
     @property
-    def waits(self) -> bool:
-        """Whether the next repetition is still to come."""
+    def pending(self) -> bool:
+        """Whether the next retry is scheduled."""
         return self._timer is not None
 
-    def after_pause(self, again: Callable[[], None]) -> bool:
-        """Call `again` after the next pause. False: it has failed for too long."""
+    def schedule(self, again: Callable[[], None]) -> bool:
+        """Call `again` after the next pause; return False if it has failed for too long."""
 
         def due() -> None:
             self._timer = None
@@ -66,43 +65,43 @@
 
 
 class SocketTransport(asyncio.Transport):
-    """A connected stream socket and its protocol, which is told `connection_made` before this returns.
+    """A connected stream socket and its protocol; the constructor calls the protocol's `connection_made`.
 
-    The protocol is told to pause writing as soon as the kernel has not taken all that was written, and to
-    resume once it has: a write after which it is not paused has gone out whole.
+    The protocol's `pause_writing` is called as soon as the kernel has not accepted all data, `resume_writing`
+    once it has: a write that is not followed by a pause has been passed to the kernel completely.
     """
 
-    def __init__(self, connected: socket.socket, protocol: asyncio.BufferedProtocol) -> None:
-        super().__init__({"socket": connected})
-        connected.setblocking(False)
+    def __init__(self, connected_socket: socket.socket, protocol: asyncio.BufferedProtocol) -> None:
+        super().__init__({"socket": connected_socket})
+        connected_socket.setblocking(False)
         poller = running_poller()
         self._loop = poller.loop
-        self._socket, self._protocol = connected, protocol
-        self._watch = poller.watch(connected.fileno(), self._ready)
+        self._socket, self._protocol = connected_socket, protocol
+        self._watch = poller.watch(connected_socket.fileno(), self._ready)
         self._poll = select.poll()
-        self._poll.register(connected.fileno(), select.POLLIN | select.POLLRDHUP)
-        self._unsent = bytearray()  # what the kernel has not taken yet
-        self._reading = True  # the protocol wants what comes
-        self._closing = False  # nothing is read any more, and it ends once all is sent
-        self._half_closed = False  # its own sending is to end once all is sent
-        self._peer_ended = False
-        self._over = False  # the protocol is told, or about to be, that the connection is lost
-        self._failing_read: _Repetition | None = None
-        self._failing_write: _Repetition | None = None
-        with contextlib.suppress(OSError):  # then small writes may be held back for a while
-            connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self._poll.register(connected_socket.fileno(), select.POLLIN | select.POLLRDHUP)
+        self._unsent = bytearray()  # data that the kernel has not accepted yet
+        self._reading = True  # the protocol accepts input
+        self._closing = False  # nothing is read any more; ends once all data is sent
+        self._half_closed = False  # shut down for writing once all data is sent
+        self._peer_closed = False
+        self._lost = False  # connection_lost has been called, or is scheduled
+        self._failing_read: _Retry | None = None
+        self._failing_write: _Retry | None = None
+        with contextlib.suppress(OSError):  # without it small writes may be delayed
+            connected_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         protocol.connection_made(self)
         self._update_watch()
 
     # ---- state
 
     def is_closing(self) -> bool:
-        return self._closing or self._over
+        return self._closing or self._lost
 
     def events(self) -> int:
-        """What poll reports of the socket at this moment: POLLIN, POLLRDHUP, POLLHUP, POLLERR; 0 once the
-        connection is over. Where the kernel cannot tell, something may lie unread: POLLIN."""
-        if self._over:
+        """The events that poll reports now: POLLIN, POLLRDHUP, POLLHUP, POLLERR; 0 once the connection is
+        lost. If poll fails, POLLIN, as input may be unread."""
+        if self._lost:
             return 0
         try:
             reported = self._poll.poll(0)
@@ -111,14 +110,14 @@
         return reported[0][1] if reported else 0
 
     def _update_watch(self) -> None:
-        if self._over:
+        if self._lost:
             return
         events = 0
-        reads_pause = self._failing_read is not None and self._failing_read.waits
-        if self._reading and not self._closing and not self._peer_ended and not reads_pause:
+        reads_paused = self._failing_read is not None and self._failing_read.pending
+        if self._reading and not self._closing and not self._peer_closed and not reads_paused:
             events |= EPOLLIN
-        writes_pause = self._failing_write is not None and self._failing_write.waits
-        if self._unsent and not writes_pause:
+        writes_paused = self._failing_write is not None and self._failing_write.pending
+        if self._unsent and not writes_paused:
             events |= EPOLLOUT
         self._watch.want(events)
 
@@ -129,7 +128,7 @@
         if events & ~EPOLLOUT and self._watch.wanted & EPOLLIN:
             self._read()
         if self._watch.wanted & EPOLLOUT:
-            self._send_rest()
+            self._send_unsent()
 
     # ---- reading
 
@@ -158,13 +157,13 @@
             if size:
                 self._protocol.buffer_updated(size)
             else:
-                self._peer_ends()
+                self._on_peer_closed()
         except Exception:
             log.exception("fault", extra={"fields": {"handling": "read"}})
             self.abort()
 
-    def _peer_ends(self) -> None:
-        self._peer_ended = True
+    def _on_peer_closed(self) -> None:
+        self._peer_closed = True
         if self._protocol.eof_received():
             self._update_watch()
         else:
@@ -173,8 +172,8 @@
     def _read_failed(self, problem: OSError) -> None:
         if is_exhaustion(problem):
             if self._failing_read is None:
-                self._failing_read = _Repetition(self._loop)
-            if self._failing_read.after_pause(self._update_watch):
+                self._failing_read = _Retry(self._loop)
+            if self._failing_read.schedule(self._update_watch):
                 self._update_watch()
                 return
         self._end(problem)
@@ -182,9 +181,9 @@
     # ---- writing
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send it after all that was written before. What the kernel does not take at once is kept and sent
-        as soon as it does; nothing is sent once the connection is over."""
-        if self._over:
+        """Send data after all earlier data. What the kernel does not accept at once is kept and sent later;
+        nothing is sent once the connection is lost."""
+        if self._lost:
             return
         if self._unsent:
             self._unsent += data
@@ -193,13 +192,13 @@
             sent = self._socket.send(data)
         except OSError as problem:
             sent = self._not_sent(problem)
-        if sent < len(data) and not self._over:
+        if sent < len(data) and not self._lost:
             self._unsent += memoryview(data)[sent:]
             self._update_watch()
             self._protocol.pause_writing()
 
     def _not_sent(self, problem: OSError) -> int:
-        """The kernel took nothing. The number of bytes sent: 0."""
+        """Handle a failed send; return the number of bytes sent, 0."""
         if isinstance(problem, BlockingIOError):
             self._failing_write = None
         else:
@@ -209,14 +208,14 @@
     def _write_failed(self, problem: OSError) -> None:
         if is_exhaustion(problem):
             if self._failing_write is None:
-                self._failing_write = _Repetition(self._loop)
-            if self._failing_write.after_pause(self._send_rest):
+                self._failing_write = _Retry(self._loop)
+            if self._failing_write.schedule(self._send_unsent):
                 return
         self._end(problem)
 
-    def _send_rest(self) -> None:
-        """Send on what the kernel has not taken; then what had to wait for that."""
-        if self._over:
+    def _send_unsent(self) -> None:
+        """Continue sending unsent data; then do what had to wait for that."""
+        if self._lost:
             return
         if self._unsent:
             try:
@@ -224,18 +223,18 @@
                 self._failing_write = None
             except OSError as problem:
                 sent = self._not_sent(problem)
-            if self._over:
+            if self._lost:
                 return
             del self._unsent[:sent]
             if self._unsent:
                 self._update_watch()
                 return
             self._protocol.resume_writing()
-        if not self._unsent and not self._over:
-            self._all_sent()
+        if not self._unsent and not self._lost:
+            self._finish_sending()
             self._update_watch()
 
-    def _all_sent(self) -> None:
+    def _finish_sending(self) -> None:
         if self._half_closed and not self._shut_down():
             return
         if self._closing:
@@ -245,15 +244,14 @@
         return True
 
     def write_eof(self) -> None:
-        """End the sending, once all that was written is sent."""
-        if not self._half_closed and not self._over:
+        """Shut down for writing once all data is sent."""
+        if not self._half_closed and not self._lost:
             self._half_closed = True
             if not self._unsent:
-                self._all_sent()
+                self._finish_sending()
 
     def _shut_down(self) -> bool:
-        """End the sending now. False: the kernel has no memory for that at the moment, and it is tried
-        again."""
+        """Shut down for writing now; return False if the kernel lacks memory for that, and it is retried."""
         try:
             self._socket.shutdown(socket.SHUT_WR)
         except OSError as problem:  # else the peer was first
@@ -264,9 +262,9 @@
         return True
 
     def end_sending(self) -> None:
-        """End the sending at once, whatever is unsent: the peer learns that what it has is not whole. Where
-        that fails for want of memory the socket is closed, which tells it too."""
-        if self._over:
+        """Shut down for writing at once and drop unsent data: the peer sees that its input is incomplete.
+        If that fails for lack of memory the socket is closed, which shows it too."""
+        if self._lost:
             return
         try:
             self._socket.shutdown(socket.SHUT_WR)
@@ -275,11 +273,11 @@
                 self._end(None)
                 self._socket.close()
 
-    # ---- its end
+    # ---- closing
 
     def close(self) -> None:
-        """Read nothing more, and end the connection once all that was written is sent."""
-        if self._closing or self._over:
+        """Stop reading, and close the connection once all data is sent."""
+        if self._closing or self._lost:
             return
         self._closing = True
         if self._unsent or (self._half_closed and self._failing_write is not None):
@@ -288,21 +286,21 @@
             self._end(None)
 
     def abort(self) -> None:
-        """End the connection now; what is unsent is lost."""
+        """Close the connection now; unsent data is lost."""
         self._end(None)
 
     def _end(self, problem: OSError | None) -> None:
-        if self._over:
+        if self._lost:
             return
-        self._over = True
+        self._lost = True
         self._unsent = bytearray()
         for failing in (self._failing_read, self._failing_write):
             if failing is not None:
                 failing.cancel()
         self._watch.end()
-        self._loop.call_soon(self._tell_end, problem)
+        self._loop.call_soon(self._notify_lost, problem)
 
-    def _tell_end(self, problem: OSError | None) -> None:
+    def _notify_lost(self, problem: OSError | None) -> None:
         try:
             self._protocol.connection_lost(problem)
         finally:
@@ -310,21 +308,21 @@
 
 
 async def connect(protocol: asyncio.BufferedProtocol, address: Address) -> None:
-    """Connect the protocol to the address: its host's first that takes the connection. Raises OSError."""
+    """Connect the protocol to the first address of the host that accepts. Raises OSError."""
     problem: OSError | None = None
-    for family, target in await _resolved(address):
+    for family, target in await _resolve(address):
         try:
-            connected = await _connected(family, target)
+            connected_socket = await _connect_socket(family, target)
         except OSError as failure:
             problem = failure
             continue
-        SocketTransport(connected, protocol)
+        SocketTransport(connected_socket, protocol)
         return
     raise problem or OSError(errno.EADDRNOTAVAIL, "the host has no address")
 
 
-async def _resolved(address: Address) -> list[tuple[int, tuple[str, int]]]:
-    """Families and addresses of a host."""
+async def _resolve(address: Address) -> list[tuple[int, tuple[str, int]]]:
+    """Return the families and addresses of a host."""
     for family in (socket.AF_INET, socket.AF_INET6):
         try:
             socket.inet_pton(family, address[0])
@@ -336,35 +334,35 @@
     return [(family, cast(Address, target)) for family, _, _, _, target in found]
 
 
-async def _connected(family: int, target: tuple[str, int]) -> socket.socket:
-    made = socket.socket(family, socket.SOCK_STREAM)
+async def _connect_socket(family: int, target: tuple[str, int]) -> socket.socket:
+    connecting = socket.socket(family, socket.SOCK_STREAM)
     try:
-        made.setblocking(False)
+        connecting.setblocking(False)
         try:
-            made.connect(target)
+            connecting.connect(target)
         except BlockingIOError as problem:
             if problem.errno != errno.EINPROGRESS:
                 raise
-            await _writable(made)
-            if error := made.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+            await _wait_connected(connecting)
+            if error := connecting.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 raise OSError(error, os.strerror(error)) from None
     except BaseException:
-        made.close()
+        connecting.close()
         raise
-    return made
+    return connecting
 
 
-async def _writable(connecting: socket.socket) -> None:
+async def _wait_connected(connecting: socket.socket) -> None:
     poller = running_poller()
-    come_up: asyncio.Future[None] = poller.loop.create_future()
+    writable: asyncio.Future[None] = poller.loop.create_future()
 
     def ready(events: int) -> None:
-        if not come_up.done():
-            come_up.set_result(None)
+        if not writable.done():
+            writable.set_result(None)
 
     watch = poller.watch(connecting.fileno(), ready)
     watch.want(EPOLLOUT)
     try:
-        await come_up
+        await writable
     finally:
         watch.end()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -15,7 +15,7 @@
 from sprucenotch.api import Outcome
 from sprucenotch.node import config, frontend
 from sprucenotch.node.connection import Connection
-from sprucenotch.node.frontend import PIPELINE_MOST, ClientConnection
+from sprucenotch.node.frontend import MAX_PIPELINED_REQUESTS, ClientConnection
 from sprucenotch.node.pool import Pool
 from sprucenotch.seams.system_errors import ignore
 from tests.sidecar import (
@@ -177,13 +177,13 @@
     async def test() -> None:
         async with late() as (served, node, connections):
             client = await node.client()
-            client.writer.write(request() * PIPELINE_MOST)
+            client.writer.write(request() * MAX_PIPELINED_REQUESTS)
             await connections.coming.wait()
-            while len(node.host._open) < PIPELINE_MOST:
+            while len(node.host._open) < MAX_PIPELINED_REQUESTS:
                 await asyncio.sleep(0)
             client.writer.write(request())
             await leave(client)  # type: ignore[operator]
-            await node.event(gone, PIPELINE_MOST)
+            await node.event(gone, MAX_PIPELINED_REQUESTS)
             assert frontend.DISCONNECT_CHECK_INTERVAL <= 0.1  # how long anything is held for it
             connections.let.set()
             while node.host._open:
@@ -202,7 +202,7 @@
 async def read_no_further(node: Sidecar) -> ClientConnection:
     """The only client's connection, once its reading is paused."""
     [connection] = node.frontend._connections
-    while not connection._stopped:
+    while not connection._reading_paused:
         await asyncio.sleep(0)
     return connection
 
@@ -224,7 +224,7 @@
     async def test() -> None:
         async with late() as (served, node, connections):
             client = await node.client()
-            client.writer.write(request() * PIPELINE_MOST)
+            client.writer.write(request() * MAX_PIPELINED_REQUESTS)
             await connections.coming.wait()
             connection = await read_no_further(node)
             client.writer.write(request())
@@ -235,7 +235,7 @@
             while node.host._open:
                 await asyncio.sleep(0)
             assert served.seen == [] and node.host.telemetry.upstream_tries == 0
-            assert sum(gone(event) for event in node.events) == PIPELINE_MOST
+            assert sum(gone(event) for event in node.events) == MAX_PIPELINED_REQUESTS
             assert node.host.budget.used == 0
 
     run(test())
@@ -259,9 +259,9 @@
             sidecar(one.dial, other.dial) as node,
         ):
             client = await node.client()
-            client.writer.write(request() * PIPELINE_MOST)
+            client.writer.write(request() * MAX_PIPELINED_REQUESTS)
             connection = await read_no_further(node)
-            while len(one.seen) + len(other.seen) < PIPELINE_MOST:
+            while len(one.seen) + len(other.seen) < MAX_PIPELINED_REQUESTS:
                 await asyncio.sleep(0)
             await leave(client)  # type: ignore[operator]
             await kernel_knows(connection)
@@ -271,7 +271,11 @@
             assert (first.outcome, first.over) == (Outcome.FULL, False)
             further = await node.event(completed, 2)
             assert (further.id, further.outcome, further.over) == (first.id, Outcome.MOOT, True)
-            assert node.host.telemetry.upstream_tries == len(one.seen) + len(other.seen) == PIPELINE_MOST
+            assert (
+                node.host.telemetry.upstream_tries
+                == len(one.seen) + len(other.seen)
+                == MAX_PIPELINED_REQUESTS
+            )
 
     run(test())
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,7 +18,7 @@
 from sprucenotch.node import config, discovery, transport, upstream
 from sprucenotch.node.config import SECOND
 from sprucenotch.node.connection import Connection
-from sprucenotch.node.frontend import PIPELINE_MOST, ClientConnection
+from sprucenotch.node.frontend import MAX_PIPELINED_REQUESTS, ClientConnection
 from sprucenotch.node.peers import Peers
 from sprucenotch.node.transport import connect
 from sprucenotch.node.upstream import SURPLUS_IDLE, Upstream, parse_report
@@ -333,7 +333,7 @@
             for byte in request(extra=b"X-N: 0\r\n"):
                 client.writer.write(bytes((byte,)))
                 await client.writer.drain()
-            numbers = range(1, PIPELINE_MOST * 2)
+            numbers = range(1, MAX_PIPELINED_REQUESTS * 2)
             client.writer.write(b"".join(request(extra=b"X-N: %d\r\n" % n) for n in numbers))
             for n in (0, *numbers):
                 assert (await client.answer())[2] == b"answer %d" % n
@@ -345,7 +345,7 @@
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             client = await node.client()
-            number = 2 * PIPELINE_MOST
+            number = 2 * MAX_PIPELINED_REQUESTS
             last = request("post", body=b"in two pieces")
             client.writer.write(request() * number + last[:-5])
             for _ in range(number):
@@ -455,7 +455,7 @@
             held = node.host.upstream
             outcomes: asyncio.Queue[int] = asyncio.Queue()
             given_up_sockets: list[socket.socket] = []
-            comes_up = transport._writable
+            comes_up = transport._wait_connected
 
             async def given_up(connecting: socket.socket) -> None:
                 await comes_up(connecting)
@@ -463,7 +463,7 @@
                 attempt.abandon(Outcome.TIMEOUT)
                 await asyncio.sleep(0)  # the task's turn, in which it is cancelled
 
-            monkeypatch.setattr(transport, "_writable", given_up)
+            monkeypatch.setattr(transport, "_wait_connected", given_up)
             started = held.attempt(
                 config.endpoint_id("s-0"), request, lambda outcome, answer: outcomes.put_nowait(outcome)
             )
@@ -536,7 +536,7 @@
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
-            node.frontend._most = 2
+            node.frontend._max_connections = 2
             fresh = await node.client()
             while len(node.frontend._connections) < 1:
                 await asyncio.sleep(0)
@@ -555,7 +555,7 @@
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             frontend = node.frontend
-            frontend._most = 2
+            frontend._max_connections = 2
             asking = await node.client()
             idle = await node.client()
             while len(frontend._connections) < 2:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -71,8 +71,8 @@
             await hangs.arrived.wait()
             assert float(hangs.seen[0].headers[b"req-deadline"]) <= 3.0 + 0.7 - 0.1
             [one] = node.host._open.values()
-            assert one.deadline is not None
-            left = one.deadline.when() - node.host._loop.time()
+            assert one.deadline_timer is not None
+            left = one.deadline_timer.when() - node.host._loop.time()
             assert round(left * 1000) <= 3600  # the loop counts whole milliseconds, in floats
 
     run(test())
@@ -120,8 +120,8 @@
             while not one.seen and not other.seen:
                 await asyncio.sleep(0)
             [asked] = node.host._open.values()
-            assert asked.deadline is not None
-            asked.deadline.cancel()
+            assert asked.deadline_timer is not None
+            asked.deadline_timer.cancel()
             node.host._at_deadline(asked)
             assert (await client.answer())[0] == 503  # safe to repeat
             assert not node.host._open and len(one.seen) + len(other.seen) == 1
@@ -259,7 +259,7 @@
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             loop = asyncio.get_running_loop()
             frontend = node.frontend
-            frontend._most, opened = 4, frontend.opened
+            frontend._max_connections, opened = 4, frontend.opened
             held: list[int] = []
 
             def counted(connection: ClientConnection) -> None:
@@ -276,8 +276,8 @@
             before = len(os.listdir("/proc/self/fd"))
             await acceptor.close()
             assert (await loop.sock_recv(asking, 1000)).startswith(b"HTTP/1.1 200")
-            assert len(held) == 41 and max(held) <= before + 2 * frontend._most
-            assert len(frontend._connections) <= frontend._most
+            assert len(held) == 41 and max(held) <= before + 2 * frontend._max_connections
+            assert len(frontend._connections) <= frontend._max_connections
             for one in (asking, *crowd):
                 one.close()
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -29,7 +29,7 @@
 @contextlib.contextmanager
 def failing_sockets(count: int) -> Iterator[None]:
     """So many calls to socket fail for want of descriptors, one after the other."""
-    left, make = [count], transport._connected
+    left, make = [count], transport._connect_socket
 
     async def connected(family: int, target: Address) -> socket.socket:
         if left[0]:
@@ -38,7 +38,7 @@
         return await make(family, target)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(transport, "_connected", connected)
+        patch.setattr(transport, "_connect_socket", connected)
         yield
 
 
@@ -76,7 +76,7 @@
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             clients = [await half_asked(node) for _ in range(3)]
-            node.frontend._most = 3
+            node.frontend._max_connections = 3
             assert await (await node.client()).ended()
             for client in clients:
                 assert await gets_its_answer(client)
@@ -95,7 +95,7 @@
             [taken] = node.frontend._connections
             node.frontend.make_room()
             assert not taken.closing
-            taken._taken_at -= MIN_UNUSED_AGE
+            taken._accepted_at -= MIN_UNUSED_AGE
             node.frontend.make_room()
             assert await client.ended()
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -20,15 +20,15 @@
 from sprucenotch.node import config, connection, frontend
 from sprucenotch.node.connection import Answer
 from sprucenotch.node.exchange import Exchange
-from sprucenotch.node.frontend import TICK, ClientConnection, Frontend
+from sprucenotch.node.frontend import REQUEST_CHECK_INTERVAL, ClientConnection, Frontend
 from sprucenotch.node.ledger import Incoming
-from sprucenotch.node.patience import HEAD_WITHIN, JUDGED_FROM, RATE_LEAST
+from sprucenotch.node.patience import BODY_CHECK_START, HEAD_TIMEOUT, MIN_BODY_RATE
 from sprucenotch.node.rules import Rules
 from sprucenotch.node.stream import (
-    ANSWER_ROOM,
-    LONG_MOST,
+    ANSWER_RESERVATION,
+    MAX_BODY_SIZE,
+    MAX_READ_SIZE,
     READ_BUFFER,
-    READ_MOST,
     WHOLE_MOST,
     Budget,
     Stream,
@@ -276,7 +276,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The engine falls silent in the middle of it, and is given up: an end, but not the engine's."""
-    monkeypatch.setattr(connection, "STALLED", 0.05)
+    monkeypatch.setattr(connection, "STALL_TIMEOUT", 0.05)
 
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await head_of(reader)
@@ -301,7 +301,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It is of HTTP/1.0, to which the end of the connection is that of the answer."""
-    monkeypatch.setattr(frontend, "STALLED", 0.05)
+    monkeypatch.setattr(frontend, "STALL_TIMEOUT", 0.05)
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await head_of(reader)
@@ -466,7 +466,7 @@
             return ok()
 
         async with endpoint(held) as served, sidecar(served.dial) as node:
-            node.host.budget.most = ANSWER_ROOM + 10
+            node.host.budget.most = ANSWER_RESERVATION + 10
             first, second = await node.client(), await node.client()
             first.writer.write(request())
             await served.arrived.wait()
@@ -488,11 +488,11 @@
             for _ in range(400):  # far more than the kernel takes
                 client.writer.write(request())
             await asyncio.wait_for(client.writer.drain(), None)
-            while not any(c._clogged and len(c._exchanges) >= 16 for c in node.frontend._connections):
+            while not any(c._write_blocked and len(c._exchanges) >= 16 for c in node.frontend._connections):
                 await asyncio.sleep(0.01)
             while any(request.attempt is not None for request in node.host._open.values()):
                 await asyncio.sleep(0.01)
-            held = sum(request.held for request in node.host._open.values())
+            held = sum(request.reserved for request in node.host._open.values())
             assert held == node.host.budget.used == WHOLE_MOST * len(node.host._open) > 0
             client.writer.transport.abort()
             await nothing_held(node)
@@ -531,11 +531,11 @@
     assert paused == [True] and not stream.started
     stream.attach(sink)
     assert paused == [True, False] and sink.got == [b"a"] and stream.started
-    stream.clog(True)
-    stream.clog(False)
+    stream.set_paused(True)
+    stream.set_paused(False)
     assert paused[2:] == [True, False]
     stream.finish(True)
-    stream.clog(True)  # the source has gone on to other things
+    stream.set_paused(True)  # the source has gone on to other things
     assert paused[4:] == [] and sink.got == [b"a", True]
 
 
@@ -546,7 +546,7 @@
     stream.drop()
     stream.feed(b"cde")
     stream.finish(True)
-    assert paused == [True, False] and not stream._held
+    assert paused == [True, False] and not stream._buffered
 
 
 # ---- the client's side by hand: any cut, and the clock
@@ -647,7 +647,7 @@
     def gone(self, rid: int) -> None:
         self.gone_ids.append(rid)
 
-    def ended(self, rid: int, broken: bool = False) -> None: ...
+    def finish_request(self, rid: int, broken: bool = False) -> None: ...
 
 
 class LedgerSink(Taker):
@@ -670,13 +670,13 @@
         self.connection.connection_made(cast(Any, self.wire))
 
     def feed(self, data: bytes) -> None:
-        for at in range(0, len(data), READ_MOST):
-            piece = data[at : at + READ_MOST]
+        for at in range(0, len(data), MAX_READ_SIZE):
+            piece = data[at : at + MAX_READ_SIZE]
             READ_BUFFER[: len(piece)] = piece
             self.connection.buffer_updated(len(piece))
 
     def wait(self, seconds: float) -> None:
-        for _ in range(round(seconds / TICK)):
+        for _ in range(round(seconds / REQUEST_CHECK_INTERVAL)):
             self.loop.tick()
 
     @property
@@ -793,12 +793,12 @@
     peer.feed(posted(CHUNKED) + chunked(OVER, 1))
     assert peer.ledger.taken == [(b"POST", OVER)]
     pieces = len(peer.ledger.sinks[0].got)
-    assert pieces <= len(chunked(OVER, 1)) / READ_MOST + 1
+    assert pieces <= len(chunked(OVER, 1)) / MAX_READ_SIZE + 1
 
 
 def test_a_body_beyond_the_most_gets_413_however_it_is_framed() -> None:
     peer = Peer()
-    peer.feed(posted(b"Content-Length: %d\r\n" % (LONG_MOST + 1)))
+    peer.feed(posted(b"Content-Length: %d\r\n" % (MAX_BODY_SIZE + 1)))
     assert peer.said.startswith(b"HTTP/1.1 413 ")
     peer = Peer()
     peer.feed(posted(CHUNKED))
@@ -831,7 +831,7 @@
 
 
 def test_a_head_may_take_two_seconds_and_no_longer_than_a_peer_is_owed() -> None:
-    assert 2.0 < HEAD_WITHIN < JUDGED_FROM < 3.0
+    assert 2.0 < HEAD_TIMEOUT < BODY_CHECK_START < 3.0
     peer = Peer()
     peer.wait(1.0)
     peer.feed(request()[:50])
@@ -840,7 +840,7 @@
     peer.feed(request()[50:])
     assert len(peer.ledger.taken) == 1
     peer.feed(request()[:50])
-    peer.wait(HEAD_WITHIN)
+    peer.wait(HEAD_TIMEOUT)
     assert b"HTTP/1.1 408" in peer.said and peer.wire.closed
 
 
@@ -864,17 +864,17 @@
     peer = Peer()
     peer.feed(posted(LENGTH))
     for at in range(12):
-        peer.feed(LONG[at * RATE_LEAST // 8 : (at + 1) * RATE_LEAST // 8])  # half of the least rate
-        peer.wait(TICK)
+        peer.feed(LONG[at * MIN_BODY_RATE // 8 : (at + 1) * MIN_BODY_RATE // 8])  # half of the least rate
+        peer.wait(REQUEST_CHECK_INTERVAL)
     assert peer.said.startswith(b"HTTP/1.1 408") and peer.wire.closed
 
 
 def test_the_time_in_which_nobody_takes_the_body_is_not_the_clients() -> None:
     peer = Peer()
     peer.feed(posted(LENGTH) + LONG[:1000])
-    peer.connection._hold(True)
+    peer.connection._pause_upload(True)
     peer.wait(30.0)
     assert peer.said == b""
-    peer.connection._hold(False)
+    peer.connection._pause_upload(False)
     peer.feed(LONG[1000:])
     assert peer.ledger.taken == [(b"POST", LONG)]
