--- a/tests/sidecar.py
+++ b/tests/sidecar.py
@@ -1,4 +1,4 @@
-"""Shared by the loopback tests: an endpoint that a test scripts, and a sidecar in the same loop."""
+"""Helpers of the loopback tests: a scripted endpoint, and a sidecar in the same event loop."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from sprucenotch.seams.clock import Clock
 
 Script: TypeAlias = Callable[["Seen"], Awaitable[bytes | None]]
-WAIT = 20.0  # a hang fails the test; no test passes or fails by a shorter time
+WAIT = 20.0  # seconds until a hanging test fails; no test depends on a shorter time
 
 SETTINGS: dict[str, Any] = {
     "Azs": ["bangna"],
@@ -42,7 +42,7 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the program uses."""
+    """Run a test on uvloop, as the program does."""
 
     async def limited() -> None:
         await asyncio.wait_for(test, WAIT)
@@ -65,7 +65,7 @@
 
 
 class Seen:
-    """A request as an endpoint (or discovery) got it."""
+    """A request as an endpoint (or discovery) received it."""
 
     def __init__(self, line: bytes, headers: dict[bytes, bytes], body: bytes) -> None:
         self.line, self.headers, self.body = line, headers, body
@@ -73,7 +73,7 @@
 
 
 class Endpoint:
-    """An HTTP server that answers as its script says; None ends the connection without an answer."""
+    """An HTTP server whose script returns the answers; None closes the connection without an answer."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -84,7 +84,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     def close_all(self) -> None:
-        """End the connections that are open now."""
+        """Close the connections that are open now."""
         for writer in self._writers:
             writer.close()
 
@@ -132,7 +132,7 @@
 
 
 async def nothing_new(request: Seen) -> bytes:
-    """Discovery's answer to a process whose list, of version 1, is the newest."""
+    """Discovery's answer to a process that already has the newest list, version 1."""
     return ok(b'{"seq": 1, "whole": false, "hosts": []}')
 
 
@@ -142,7 +142,7 @@
 
 
 def dead_dial() -> str:
-    """An address where nothing listens: the port was bound a moment ago and never listened on."""
+    """Return an address on which nothing listens: its port was bound and released without listening."""
     with socket.socket() as bound:
         bound.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{bound.getsockname()[1]}"
@@ -157,6 +157,8 @@
 
 
 class Sidecar:
+    """A sidecar in the test's event loop, which records the events that its balancer gets."""
+
     def __init__(self, told: dict[str, Any]) -> None:
         self.config = config.parse(json.loads(json.dumps(told)))
         self.events: list[api.Event] = []
@@ -181,7 +183,7 @@
         self.server = accepting(self, listener)
 
     async def event(self, wanted: Callable[[Any], bool], number: int = 1) -> Any:
-        """The event, past or to come, that is the first wanted one, or that of another number."""
+        """Wait for the `number`-th event, past or future, that matches `wanted`, and return it."""
         while True:
             found = [event for event in self.events if wanted(event)]
             if len(found) >= number:
@@ -194,7 +196,7 @@
 
 
 def accepting(node: Sidecar, listener: socket.socket) -> Acceptor:
-    """What takes the connections of a listener for that sidecar's clients, as the program has it."""
+    """Return an acceptor of client connections for that sidecar, set up as in the program."""
     frontend = node.frontend
     return Acceptor(listener, partial(ClientConnection, frontend), frontend.make_room, node.host.count)
 
@@ -234,7 +236,7 @@
         return int(head[0].split()[1]), headers, body
 
     async def ended(self) -> bool:
-        """Whether the sidecar ends the connection with nothing more said."""
+        """Wait for the end of the connection; True if no further input arrived."""
         try:
             return await self.reader.read() == b""
         except ConnectionError:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""The program at the end of its descriptors: what is kept back for its own use, and how it comes back."""
+"""The program at its descriptor limit: the descriptors reserved for its own use, and how it recovers."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 )
 from tests.test_program import COMMAND, ROOT, connected
 
-ASKED = SETTINGS | {"Discovery": "on_request", "Rules": {"AskWithinNs": 1_000_000_000}}
-MOMENTARY = 3  # of the program's own: a file that is read, a client and a caller above the most
+DISCOVERY_ON_REQUEST = SETTINGS | {"Discovery": "on_request", "Rules": {"AskWithinNs": 1_000_000_000}}
+BRIEFLY_OPEN = 3  # briefly open: a file, a client and a management caller over their limits
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 class Process:
-    """The program as a process, and what it holds."""
+    """The program as a process, and its open descriptors."""
 
     def __init__(self, child: asyncio.subprocess.Process, told: config.Config) -> None:
         self.child, self.told = child, told
@@ -47,7 +47,7 @@
     def descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.child.pid}/fd"))
 
-    def sum_of_shares(self) -> int:
+    def total_share(self) -> int:
         told = self.told
         return told.clients_most + told.upstream_most + told.callers_most + config.OWN_SOCKETS
 
@@ -55,9 +55,9 @@
         resource.prlimit(self.child.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
     async def until(self, reached: Callable[[], bool]) -> None:
-        """Wait, and hold all the while that the descriptors stay within the sum."""
+        """Wait, and check all the while that the descriptors stay within the sum of the shares."""
         while not reached():
-            assert self.descriptors() <= self.sum_of_shares()
+            assert self.descriptors() <= self.total_share()
             await asyncio.sleep(0.001)
 
 
@@ -78,7 +78,7 @@
 
 
 class Crowd:
-    """Connections that say nothing; those that are shut are opened anew, as often as asked."""
+    """Silent connections; `open_again` replaces those that the program has closed."""
 
     def __init__(self, address: config.Address) -> None:
         self._address = address
@@ -113,8 +113,8 @@
             held.close()
 
 
-async def hold(served: Endpoint, out: list[Client], listen: str, number: int) -> None:
-    """So many requests out at an engine that does not answer yet."""
+async def send_pending_requests(served: Endpoint, out: list[Client], listen: str, number: int) -> None:
+    """Send `number` requests to an engine that does not answer yet."""
     for _ in range(number):
         client = await connected(listen)
         client.writer.write(request())
@@ -123,8 +123,8 @@
         await asyncio.sleep(0.001)
 
 
-def test_what_the_program_holds_for_itself_is_within_its_share(tmp_path: Path) -> None:
-    """With all that settings may ask for, and an agent that hangs: calls to it are left open."""
+def test_descriptors_for_own_use_stay_within_their_share(tmp_path: Path) -> None:
+    """With everything enabled, and discovery calls that hang and stay open."""
 
     async def test() -> None:
         async with (
@@ -132,20 +132,20 @@
             endpoint(never) as hung,
             process(tmp_path, served.dial, discovery=hung.dial) as program,
         ):
-            most = 0
+            max_descriptors = 0
             while len(hung.seen) < discovery.MAX_OVERDUE + 3:
-                most = max(most, program.descriptors())
+                max_descriptors = max(max_descriptors, program.descriptors())
                 await asyncio.sleep(0.001)
-            assert config.OWN_SOCKETS // 2 < most <= config.OWN_SOCKETS - MOMENTARY
+            assert config.OWN_SOCKETS // 2 < max_descriptors <= config.OWN_SOCKETS - BRIEFLY_OPEN
 
     run(test())
 
 
 @pytest.mark.parametrize("sockets", [256, 1024])
-def test_with_all_shares_full_discovery_is_called_and_new_clients_are_answered(
+def test_with_all_descriptor_shares_full_discovery_and_new_clients_still_work(
     tmp_path: Path, sockets: int
 ) -> None:
-    """The limit is lowered to the sum of the shares, so no slack beside them hides what goes over one."""
+    """The limit is lowered to the sum of the shares, so that no slack hides an overrun of one of them."""
 
     async def test() -> None:
         go_on = asyncio.Event()
@@ -161,42 +161,44 @@
                 tmp_path,
                 served.dial,
                 discovery=agent,
-                settings=ASKED,
+                settings=DISCOVERY_ON_REQUEST,
                 limits={"sockets": sockets, "memory_mb": 1024},
             ) as program,
         ):
             told = program.told
             listen = f"{told.listen[0]}:{told.listen[1]}"
             assert (await (await connected(listen)).ask(UP))[0] == 200
-            program.allow(program.sum_of_shares())
-            await hold(served, out, listen, told.upstream_most)
+            program.allow(program.total_share())
+            await send_pending_requests(served, out, listen, told.upstream_most)
             crowd, callers = Crowd(told.listen), Crowd(told.mgmt or told.listen)
-            # Held still, it finds all of them waiting in one turn of its loop.
+            # Stopped and continued, the program finds all of them in a single loop iteration.
             program.child.send_signal(signal.SIGSTOP)
             crowd.open(told.clients_most)
             callers.open(2 * told.callers_most)
             program.child.send_signal(signal.SIGCONT)
-            full = program.sum_of_shares() - config.OWN_SOCKETS
+            full = program.total_share() - config.OWN_SOCKETS
             await program.until(lambda: program.descriptors() >= full)
 
             asked = asyncio.Event()
 
-            async def tells(seen: Seen) -> bytes:
+            async def answer_with_list(seen: Seen) -> bytes:
                 asked.set()
                 hosts = [entry("s-0", served.dial)]
                 return ok(json.dumps({"seq": 2, "whole": True, "hosts": hosts}).encode())
 
-            returned = Endpoint(tells)
+            returned = Endpoint(answer_with_list)
             host, port = agent.split(":")
             server = await asyncio.start_server(returned._serve, host, int(port))
             await program.until(asked.is_set)
             crowd.open_again()
             client = await connected(listen)
-            assert (await client.ask(request()))[0] == 503  # every engine connection is out: refused unsent
+            assert (await client.ask(request()))[
+                0
+            ] == 503  # all engine connections are in use: refused unsent
             go_on.set()
             assert [(await held.answer())[0] for held in out] == [200] * told.upstream_most
             crowd.open_again()
-            # The decisions may refuse for a while: they saw that nobody answered.
+            # The balancer may refuse for a while, as it saw no answers.
             while (await (await connected(listen)).ask(request()))[0] == 503:
                 await program.until(lambda: True)
             server.close()
@@ -206,9 +208,9 @@
     run(test())
 
 
-def test_out_of_descriptors_what_comes_waits_and_idle_clients_make_room_for_it(tmp_path: Path) -> None:
-    """Should the sum not hold, for what else a process may hold: nobody who asks is shut unread, and neither
-    the listener nor the watch ends by it."""
+def test_out_of_descriptors_new_connections_wait_until_idle_clients_are_closed(tmp_path: Path) -> None:
+    """If the process holds more descriptors than planned, no client is closed with an unread request, and
+    neither the listener nor the discovery watch ends."""
 
     async def test() -> None:
         async def answers(seen: Seen) -> bytes:
@@ -221,7 +223,7 @@
                 tmp_path,
                 served.dial,
                 discovery=agent,
-                settings=ASKED,
+                settings=DISCOVERY_ON_REQUEST,
                 limits={"sockets": 256, "memory_mb": 1024},
             ) as program,
         ):
@@ -235,13 +237,13 @@
             assert (await client.ask(request()))[0] == 200
             called = asyncio.Event()
 
-            async def tells(seen: Seen) -> bytes:
+            async def answer_with_list(seen: Seen) -> bytes:
                 called.set()
                 hosts = [entry("s-0", served.dial)]
                 return ok(json.dumps({"seq": 2, "whole": True, "hosts": hosts}).encode())
 
             host, port = agent.split(":")
-            server = await asyncio.start_server(Endpoint(tells)._serve, host, int(port))
+            server = await asyncio.start_server(Endpoint(answer_with_list)._serve, host, int(port))
             crowd.close()
             await called.wait()
             assert (await (await connected(listen)).ask(request()))[0] == 200
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A client that leaves while its request waits: whatever it waits for, nothing is sent on for it."""
+"""Clients that leave while their request waits: nothing is sent to an endpoint for them any more."""
 
 from __future__ import annotations
 
@@ -35,7 +35,9 @@
     status,
 )
 
-ALONE = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Peers": False}}  # members are asked by probe
+WITHOUT_PEERS = SETTINGS | {
+    "Limits": SETTINGS["Limits"] | {"Peers": False}
+}  # engines of the subset are probed
 
 
 def gone(event: api.Event) -> bool:
@@ -47,7 +49,7 @@
 
 
 class LateConnections:
-    """Connections to endpoints come up, in truth, but only once they are let."""
+    """Delays the result of connecting to an endpoint until `let` is set; `coming` is set once it is up."""
 
     def __init__(self, node: Sidecar) -> None:
         self.coming, self.let = asyncio.Event(), asyncio.Event()
@@ -71,7 +73,7 @@
     client.writer.close()
 
 
-async def half(client: Client) -> None:
+async def half_close(client: Client) -> None:
     client.writer.write_eof()
 
 
@@ -81,11 +83,11 @@
     client.writer.transport.abort()
 
 
-WAYS = pytest.mark.parametrize("leave", [fin, half, reset])
+LEAVING_KINDS = pytest.mark.parametrize("leave", [fin, half_close, reset])
 
 
-@WAYS
-def test_while_its_connection_comes_up_which_is_kept_for_others(leave: object) -> None:
+@LEAVING_KINDS
+def test_client_leaving_while_connecting_sends_nothing_and_keeps_the_connection(leave: object) -> None:
     async def test() -> None:
         async with late() as (served, node, connections):
             client = await node.client()
@@ -103,8 +105,8 @@
     run(test())
 
 
-def test_while_the_time_of_its_request_runs_out_as_the_connection_comes_up() -> None:
-    """No client left here, but no time is left either: the same check."""
+def test_deadline_passing_while_connecting_sends_nothing() -> None:
+    """The check is the same as for a client that left."""
 
     async def test() -> None:
         async with late() as (served, node, connections):
@@ -120,7 +122,7 @@
     run(test())
 
 
-def test_while_a_member_is_asked_by_probe() -> None:
+def test_client_leaving_during_a_probe_sends_nothing() -> None:
     async def test() -> None:
         answer = asyncio.Event()
 
@@ -128,7 +130,7 @@
             await answer.wait()
             return ok(b"")
 
-        async with endpoint(script) as served, sidecar(served.dial, settings=ALONE) as node:
+        async with endpoint(script) as served, sidecar(served.dial, settings=WITHOUT_PEERS) as node:
             client = await node.client()
             client.writer.write(request())
             await served.arrived.wait()
@@ -136,7 +138,7 @@
             await node.event(gone)
             answer.set()
             await node.event(lambda e: isinstance(e, api.Probed) and e.outcome == Outcome.OK)
-            late = await node.client()  # what was queued by then has been done once this one is answered
+            late = await node.client()  # all earlier work is done once this one is answered
             assert (await late.ask(request()))[0] == 200
             asked = [seen.line.split()[1].partition(b"?")[0] for seen in served.seen]
             assert asked.count(b"/api") == 1
@@ -144,7 +146,7 @@
     run(test())
 
 
-def test_between_two_attempts() -> None:
+def test_client_leaving_between_two_attempts_sends_no_retry() -> None:
     async def test() -> None:
         answer = asyncio.Event()
 
@@ -170,9 +172,9 @@
     run(test())
 
 
-@WAYS
-def test_behind_others_on_a_connection_that_is_read_no_further(leave: object) -> None:
-    """So many requests wait that reading is paused, and more lies unread: only the socket tells the end."""
+@LEAVING_KINDS
+def test_client_leaving_while_reading_is_paused_is_noticed_by_the_check(leave: object) -> None:
+    """Pending requests pause reading, and input is unread: only the socket shows that the client left."""
 
     async def test() -> None:
         async with late() as (served, node, connections):
@@ -184,7 +186,7 @@
             client.writer.write(request())
             await leave(client)  # type: ignore[operator]
             await node.event(gone, MAX_PIPELINED_REQUESTS)
-            assert frontend.DISCONNECT_CHECK_INTERVAL <= 0.1  # how long anything is held for it
+            assert frontend.DISCONNECT_CHECK_INTERVAL <= 0.1  # bounds how long resources are kept
             connections.let.set()
             while node.host._open:
                 await asyncio.sleep(0)
@@ -194,21 +196,21 @@
 
 
 @pytest.fixture
-def unheard(monkeypatch: pytest.MonkeyPatch) -> None:
-    """While reading is paused, the connection is not checked for its client's end within any test."""
+def no_disconnect_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disable the periodic check for the client's end while reading is paused."""
     monkeypatch.setattr(frontend, "DISCONNECT_CHECK_INTERVAL", 3600.0)
 
 
-async def read_no_further(node: Sidecar) -> ClientConnection:
-    """The only client's connection, once its reading is paused."""
+async def wait_until_reading_paused(node: Sidecar) -> ClientConnection:
+    """Return the only client's connection, once its reading is paused."""
     [connection] = node.frontend._connections
     while not connection._reading_paused:
         await asyncio.sleep(0)
     return connection
 
 
-async def kernel_knows(connection: ClientConnection) -> None:
-    """Wait until the client's end has come to the sidecar's socket."""
+async def wait_until_kernel_sees_end(connection: ClientConnection) -> None:
+    """Wait until the client's end has reached the sidecar's socket."""
     assert connection._transport is not None
     poll = select.poll()
     poll.register(connection._transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
@@ -216,20 +218,22 @@
         await asyncio.sleep(0)
 
 
-@WAYS
-@pytest.mark.usefixtures("unheard")
-def test_unheard_behind_others_no_first_attempt_begins(leave: object) -> None:
-    """The end is asked for where the first byte is about to go out: no timer and no read tells of it."""
+@LEAVING_KINDS
+@pytest.mark.usefixtures("no_disconnect_check")
+def test_client_leaving_while_reading_is_paused_gets_no_first_attempt_without_the_check(
+    leave: object,
+) -> None:
+    """The socket is checked right before the first byte is sent; no timer and no read reports the end."""
 
     async def test() -> None:
         async with late() as (served, node, connections):
             client = await node.client()
             client.writer.write(request() * MAX_PIPELINED_REQUESTS)
             await connections.coming.wait()
-            connection = await read_no_further(node)
+            connection = await wait_until_reading_paused(node)
             client.writer.write(request())
             await leave(client)  # type: ignore[operator]
-            await kernel_knows(connection)
+            await wait_until_kernel_sees_end(connection)
             assert not any(gone(event) for event in node.events)
             connections.let.set()
             while node.host._open:
@@ -241,9 +245,9 @@
     run(test())
 
 
-@WAYS
-@pytest.mark.usefixtures("unheard")
-def test_unheard_behind_others_no_further_attempt_begins(leave: object) -> None:
+@LEAVING_KINDS
+@pytest.mark.usefixtures("no_disconnect_check")
+def test_client_leaving_while_reading_is_paused_gets_no_retry_without_the_check(leave: object) -> None:
     """One of the first attempts is declined after the client left; the others go on."""
 
     async def test() -> None:
@@ -260,11 +264,11 @@
         ):
             client = await node.client()
             client.writer.write(request() * MAX_PIPELINED_REQUESTS)
-            connection = await read_no_further(node)
+            connection = await wait_until_reading_paused(node)
             while len(one.seen) + len(other.seen) < MAX_PIPELINED_REQUESTS:
                 await asyncio.sleep(0)
             await leave(client)  # type: ignore[operator]
-            await kernel_knows(connection)
+            await wait_until_kernel_sees_end(connection)
             assert not any(gone(event) for event in node.events)
             decline.release()
             first = await node.event(completed)
@@ -280,9 +284,9 @@
     run(test())
 
 
-@WAYS
-@pytest.mark.usefixtures("unheard")
-def test_unheard_with_a_long_body_that_is_read_no_further(leave: object) -> None:
+@LEAVING_KINDS
+@pytest.mark.usefixtures("no_disconnect_check")
+def test_client_leaving_while_its_upload_is_paused_sends_nothing_without_the_check(leave: object) -> None:
     async def test() -> None:
         async with late() as (served, node, connections):
             client = await node.client()
@@ -291,9 +295,9 @@
             client.writer.write(head + b"-" * 80_000)
             await client.writer.drain()
             await connections.coming.wait()
-            connection = await read_no_further(node)
+            connection = await wait_until_reading_paused(node)
             await leave(client)  # type: ignore[operator]
-            await kernel_knows(connection)
+            await wait_until_kernel_sees_end(connection)
             connections.let.set()
             outcome = await node.event(completed)
             assert (outcome.outcome, outcome.over) == (Outcome.MOOT, True)
@@ -302,9 +306,9 @@
     run(test())
 
 
-def test_before_its_request_is_read_as_the_loop_is_late() -> None:
-    """Request and end lie in the kernel together, and a connection to the endpoint is at hand: the request is
-    read first, and would go out before the end is read."""
+def test_client_leaving_before_its_request_is_read_sends_nothing() -> None:
+    """Request and end are in the kernel's buffer together, and a connection to the endpoint is idle: the
+    request is read first, and would be sent before the end is read."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -313,7 +317,7 @@
             [pool] = node.host.upstream._pools.values()
             [kept] = pool.idle
             kept.rests_until = 0
-            with socket.create_connection(("127.0.0.1", node.port)) as client:  # the loop stands still
+            with socket.create_connection(("127.0.0.1", node.port)) as client:  # the loop is blocked here
                 client.sendall(request())
             await node.event(gone)
             while node.host._open:
@@ -323,7 +327,7 @@
     run(test())
 
 
-def test_an_endpoint_that_moved_while_a_connection_came_up_gets_nothing_at_its_old_address() -> None:
+def test_endpoint_that_moved_while_connecting_gets_nothing_at_its_old_address() -> None:
     async def test() -> None:
         async with endpoint(never) as new, late() as (old, node, connections):
             client = await node.client()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The sidecar over loopback sockets: what each thing that happens there comes to."""
+"""The sidecar over loopback sockets: outcomes of requests, connections, discovery and peer messages."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     return lambda e: isinstance(e, api.Probed) and e.endpoint == config.endpoint_id(name)
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() -> None:
+def test_request_and_answer_are_forwarded_unchanged() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             client = await node.client()
@@ -62,9 +62,9 @@
     run(test())
 
 
-def test_connections_are_kept_on_both_sides(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Asked too late, httptools forgets that an answer keeps its connection: each request had a handshake.
-    monkeypatch.setattr(upstream, "REST", 0)  # no second one is opened while the first rests
+def test_connections_are_kept_alive_on_both_sides(monkeypatch: pytest.MonkeyPatch) -> None:
+    # httptools reports keep-alive only inside its callback; read later, each request needed a handshake.
+    monkeypatch.setattr(upstream, "REST", 0)  # no second connection is opened while the first rests
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -76,7 +76,7 @@
     run(test())
 
 
-def test_httptools_tells_keep_alive_only_inside_its_callback() -> None:
+def test_httptools_reports_keep_alive_only_inside_its_callback() -> None:
     told: list[bool] = []
 
     class Callbacks:
@@ -88,8 +88,8 @@
     assert told == [True] and not parser.should_keep_alive()
 
 
-def test_a_connection_that_the_peer_closed_is_not_used_again() -> None:
-    # The end lies unread in the kernel: the loop has not run since, so no event has told of it.
+def test_connection_closed_by_the_peer_is_not_reused() -> None:
+    # The close is in the kernel's buffer: the loop has not run since, so no event has reported it.
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             connection = Connection()
@@ -103,7 +103,7 @@
     run(test())
 
 
-def test_a_write_that_fails_at_once_is_known_not_to_have_run() -> None:
+def test_request_on_a_reset_connection_counts_as_not_sent() -> None:
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             connection = Connection()
@@ -122,7 +122,7 @@
     return None
 
 
-async def broken(request: Seen) -> bytes:
+async def malformed_answer(request: Seen) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"
 
 
@@ -133,9 +133,9 @@
     return script
 
 
-UNSURE = [
+MAY_HAVE_RUN = [
     (hang_up, Outcome.RESET),
-    (broken, Outcome.ERROR),
+    (malformed_answer, Outcome.ERROR),
     (answering(b"HTTP/1.1 200 OK\r\n\r\nno length, and then"), None),
     (answering(status(500)), Outcome.ERROR),
     (answering(status(503)), Outcome.ERROR),
@@ -145,8 +145,8 @@
 ]
 
 
-def test_an_endpoint_that_once_answers_nonsense_is_not_ejected() -> None:
-    """It runs, and what it said may concern that one request alone: it is no broken connection."""
+def test_endpoint_with_one_malformed_answer_is_not_ejected() -> None:
+    """The endpoint runs, and the malformed answer may concern that request only."""
 
     async def test() -> None:
         nonsense = answering(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde")
@@ -158,8 +158,8 @@
     run(test())
 
 
-@pytest.mark.parametrize(("script", "outcome"), UNSURE)
-def test_what_may_have_run_is_not_sent_again_and_not_refused(script: Any, outcome: int | None) -> None:
+@pytest.mark.parametrize(("script", "outcome"), MAY_HAVE_RUN)
+def test_request_that_may_have_run_is_failed_and_not_retried(script: Any, outcome: int | None) -> None:
     async def test() -> None:
         async with (
             endpoint(script) as served,
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("code", [503, 504])
-def test_a_declined_request_never_ran_so_it_is_tried_elsewhere_or_refused(code: int) -> None:
+def test_declined_request_counts_as_not_run_and_is_refused_if_no_endpoint_is_left(code: int) -> None:
     declined = answering(status(code, b"Srv-Declined: 1", b"Connection: close"))
 
     async def test() -> None:
@@ -190,7 +190,7 @@
     run(test())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_request_with_a_refused_connection_counts_as_not_run() -> None:
     async def test() -> None:
         async with sidecar(dead_dial()) as node:
             client = await node.client()
@@ -201,18 +201,18 @@
 
 
 @pytest.mark.parametrize(("cls", "code"), [("read", 503), ("post", 504)])
-def test_at_the_deadline_the_attempt_ends_and_the_answer_goes_out(cls: str, code: int) -> None:
+def test_deadline_ends_the_attempt_and_answers_the_client(cls: str, code: int) -> None:
     async def test() -> None:
         async with endpoint(never) as served, sidecar(served.dial) as node:
             client = await node.client()
             assert (await client.ask(request(cls, deadline="1")))[0] == code
-            await served.seen[0].left.wait()  # the connection is closed: nothing is waited for any more
+            await served.seen[0].left.wait()  # the connection is closed
             assert (await node.event(completed)).outcome == Outcome.TIMEOUT
 
     run(test())
 
 
-def test_an_endpoint_that_drains_while_its_connection_comes_up_gets_no_request() -> None:
+def test_endpoint_that_drains_while_connecting_gets_no_request() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             outcomes: list[int] = []
@@ -234,7 +234,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_is_owed_nothing_and_its_attempt_keeps_its_connection() -> None:
+def test_attempt_of_a_client_that_left_completes_and_keeps_its_connection() -> None:
     async def test() -> None:
         go_on = asyncio.Event()
 
@@ -257,7 +257,7 @@
     run(test())
 
 
-def test_late_and_repeated_outcomes_and_timers_are_harmless() -> None:
+def test_late_and_repeated_events_are_ignored() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             client = await node.client()
@@ -265,13 +265,15 @@
             event = await node.event(completed)
             for again in (event, api.Gone(event.id), api.Timer(event.id + 1), api.Timer(77)):
                 node.host.post(again)
-            node.host._send(api.Send(event.id, event.endpoint, 0))  # over: must not go out
+            node.host._send(
+                api.Send(event.id, event.endpoint, 0)
+            )  # the request has finished: must not be sent
             assert (await client.ask(request()))[0] == 200 and len(served.seen) == 2
 
     run(test())
 
 
-NONSENSE = [
+INVALID_REQUESTS = [
     (b"nonsense\r\n\r\n", 400),
     (b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
     (b"POST / HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", 400),
@@ -288,8 +290,8 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "code"), NONSENSE)
-def test_nonsense_gets_a_clear_answer_and_costs_nothing_else(raw: bytes, code: int) -> None:
+@pytest.mark.parametrize(("raw", "code"), INVALID_REQUESTS)
+def test_invalid_request_gets_its_error_status_and_affects_no_other_client(raw: bytes, code: int) -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             client, other = await node.client(), await node.client()
@@ -300,13 +302,13 @@
     run(test())
 
 
-def test_a_peer_that_sends_no_whole_request_is_not_kept() -> None:
+def test_peer_without_a_complete_request_gets_408_or_is_closed() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             proper, silent, slow = [await node.client() for _ in range(3)]
             assert (await proper.ask(request()))[0] == 200
             late = await node.client()
-            late.writer.write(request() + request()[:-2])  # one whole, and a part of the next
+            late.writer.write(request() + request()[:-2])  # a complete request, and part of the next
             slow.writer.write(request()[:-2])
             assert await silent.ended()
             assert (await slow.answer())[0] == 408 and await slow.ended()
@@ -317,7 +319,7 @@
     run(test())
 
 
-def test_requests_split_into_bytes_and_pipelined_ones_are_answered_in_order() -> None:
+def test_split_and_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         first_may_end = asyncio.Event()
 
@@ -341,7 +343,7 @@
     run(test())
 
 
-def test_the_rest_of_the_last_of_many_requests_in_one_packet_may_come_after_the_others_are_answered() -> None:
+def test_last_pipelined_request_may_be_completed_after_the_others_are_answered() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             client = await node.client()
@@ -357,7 +359,7 @@
     run(test())
 
 
-def test_up_tells_whether_any_endpoint_is_known() -> None:
+def test_up_returns_200_once_an_endpoint_is_known() -> None:
     async def test() -> None:
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         async with sidecar() as node:
@@ -370,7 +372,7 @@
     run(test())
 
 
-def test_probes_bring_their_report_or_their_failure() -> None:
+def test_probes_yield_a_load_report_or_a_failure() -> None:
     async def script(seen: Seen) -> bytes:
         assert seen.line == b"GET /metrics/load HTTP/1.1" and b"req-id" not in seen.headers
         return ok(b"TEXT rate=140, lat_ms=14.5, busy=0.5")
@@ -386,14 +388,14 @@
     run(test())
 
 
-def test_load_reports_in_the_order_of_the_settings() -> None:
+def test_load_report_fields_are_in_the_order_of_the_settings() -> None:
     assert parse_report(b"TEXT busy=0.5, rate=3, novel=1", ("rate", "busy")) == (3, 0.5)
     for bad in (b"", b"TEXT rate=x, busy=1", b"TEXT rate=1", b"\xff"):
         assert parse_report(bad, ("rate", "busy")) == ()
 
 
-def test_surplus_connections_close_once_idle_and_the_last_one_stays() -> None:
-    # Each takes a part of the endpoint's capacity: what a burst has left must not stand for a minute.
+def test_surplus_idle_connections_are_closed_except_the_last() -> None:
+    # Each connection costs capacity of the endpoint: those left by a burst must not stay open for a minute.
     async def test() -> None:
         async with endpoint(always_ok) as served:
             now = [SECOND]
@@ -412,16 +414,16 @@
             assert upstream.take(pool) is burst[2]
             upstream.give(pool, burst[2])
             assert pool.idle == [burst[2]] and not burst[0].usable()
-            now[0] += told.idle_limit  # the endpoint may close it any moment: not for use
+            now[0] += told.idle_limit  # the endpoint may close it at any moment: must not be used
             assert upstream.take(pool) is None
 
     run(test())
 
 
-def test_a_connection_lost_as_soon_as_it_is_made_is_not_counted_for_ever(
+def test_connection_lost_right_after_connecting_is_uncounted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The end can come before the task that waited for the connection runs again.
+    # The close can arrive before the task that waited for the connection runs again.
     async def losing(connection: Connection, address: config.Address) -> None:
         await connect(connection, address)
         assert connection._transport is not None
@@ -445,10 +447,10 @@
     run(test())
 
 
-def test_a_connection_given_up_as_it_comes_up_is_not_counted_for_ever(
+def test_connection_of_an_abandoned_attempt_is_closed_and_uncounted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its time runs out between its coming up and the turn of the task that waits for it."""
+    """The attempt times out after the connection is up and before the connecting task runs again."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -461,7 +463,7 @@
                 await comes_up(connecting)
                 given_up_sockets.append(connecting)
                 attempt.abandon(Outcome.TIMEOUT)
-                await asyncio.sleep(0)  # the task's turn, in which it is cancelled
+                await asyncio.sleep(0)  # lets the task run, in which it is cancelled
 
             monkeypatch.setattr(transport, "_wait_connected", given_up)
             started = held.attempt(
@@ -479,7 +481,7 @@
     run(test())
 
 
-def test_a_stopping_sidecar_answers_all_that_was_pipelined_before_it_closes() -> None:
+def test_draining_sidecar_answers_all_pipelined_requests_before_it_closes() -> None:
     async def test() -> None:
         go_on = asyncio.Event()
 
@@ -502,7 +504,7 @@
     run(test())
 
 
-def test_out_of_sockets_an_idle_connection_makes_room_else_the_attempt_fails_unsent() -> None:
+def test_at_the_socket_limit_an_idle_connection_is_closed_or_the_attempt_fails_unsent() -> None:
     async def test() -> None:
         async with (
             endpoint(never) as served,
@@ -522,7 +524,7 @@
                 attempt.start()
 
             start("s-1")
-            assert await outcomes.get() == Outcome.OK  # its connection is idle now, and the only one allowed
+            assert await outcomes.get() == Outcome.OK  # its connection is idle now, and uses the only socket
             start("s-0")
             await served.arrived.wait()
             start("s-1")
@@ -531,8 +533,8 @@
     run(test())
 
 
-def test_at_the_most_clients_the_one_that_is_done_makes_room_and_not_one_about_to_ask() -> None:
-    """A close that crosses a request on a used connection has it sent again; on a new one it fails."""
+def test_at_the_client_limit_a_used_idle_connection_is_closed_before_an_unused_one() -> None:
+    """A client resends a request that crosses the close of a used connection, but not of a new one."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -549,8 +551,8 @@
     run(test())
 
 
-def test_at_the_most_clients_one_whose_first_request_lies_unread_is_not_closed() -> None:
-    """A loop that is late finds the connection above the most before it has read what came on the oldest."""
+def test_at_the_client_limit_a_connection_with_an_unread_first_request_is_kept() -> None:
+    """A late loop sees the connection over the limit before it has read the oldest one's request."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -560,7 +562,7 @@
             idle = await node.client()
             while len(frontend._connections) < 2:
                 await asyncio.sleep(0)
-            # The request is in the kernel by now; the loop reads it in its next turn, after this.
+            # The request is in the kernel's buffer; the loop reads it in its next iteration, after this.
             os.write(asking.writer.get_extra_info("socket").fileno(), request())
             third = ClientConnection(frontend)
             frontend.opened(third)
@@ -574,8 +576,8 @@
 # ---- discovery
 
 
-def watching(*answers: bytes | None) -> tuple[Any, list[bytes]]:
-    """A discovery that gives these answers in turn, then none; and the calls that it got."""
+def discovery_script(*answers: bytes | None) -> tuple[Any, list[bytes]]:
+    """Return a script that gives these answers in turn, then none, and the list of calls it received."""
     calls: list[bytes] = []
 
     async def script(seen: Seen) -> bytes | None:
@@ -595,10 +597,12 @@
     return ok(json.dumps({"seq": seq, "whole": False, "hosts": hosts}).encode())
 
 
-def test_a_watch_goes_on_from_known_through_every_kind_of_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "HOLD_GRACE_PUSHED", WAIT)  # no answer is late, however slow the machine
+def test_watch_continues_from_the_known_version_after_every_kind_of_failure(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(discovery, "HOLD_GRACE_PUSHED", WAIT)  # no answer counts as late on a slow machine
     added, drained = entry("s-1", "127.0.0.1:9"), entry("s-1", "127.0.0.1:9", "draining")
-    script, calls = watching(
+    script, calls = discovery_script(
         None, status(503), ok(b"no JSON"), ok(b"[]"), ok(b'{"seq":1,"hosts":[7]}'),
         delta(2, entry("s-1", "127.0.0.1:9") | {"share": math.inf}), delta(1),
         delta(2, added), delta(3, drained), whole(4, entry("s-2", "127.0.0.1:9")),
@@ -621,8 +625,8 @@
     run(test())
 
 
-def test_a_watch_that_hangs_is_given_up_and_the_next_one_brings_the_list() -> None:
-    # What an agent has counts as told while a call to it hangs.
+def test_hanging_watch_is_abandoned_and_the_next_one_gets_the_list() -> None:
+    # Discovery regards an answer as delivered while the call hangs.
     async def script(seen: Seen) -> bytes:
         calls.append(seen)
         if len(calls) == 1:
@@ -641,10 +645,12 @@
     run(test())
 
 
-def test_what_the_fleet_pays_for_together_is_counted_for_the_status_line(
+def test_handshakes_and_discovery_calls_are_counted_for_the_status_event(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("sprucenotch.node.host.STATUS_EVERY", 3600.0)  # no line takes the counts meanwhile
+    monkeypatch.setattr(
+        "sprucenotch.node.host.STATUS_EVERY", 3600.0
+    )  # no status event resets the counts meanwhile
 
     async def failing(seen: Seen) -> bytes:
         return status(503)
@@ -657,7 +663,7 @@
             sidecar(served.dial, discovery=list_service.dial, settings=asked) as node,
         ):
             client = await node.client()
-            for _ in range(2):  # the second finds the connection of the first
+            for _ in range(2):  # the second reuses the connection of the first
                 assert (await client.ask(request()))[0] == 200
             assert node.host.telemetry.events["handshakes"] == 1
             node.discovery.watch(True)
@@ -668,7 +674,7 @@
     run(test())
 
 
-def test_a_process_that_was_told_nothing_yet_asks_what_is_new_by_now_and_only_then_watches() -> None:
+def test_new_process_asks_for_current_changes_before_it_watches() -> None:
     calls: list[bytes] = []
 
     async def script(request: Seen) -> bytes:
@@ -697,8 +703,8 @@
     run(test())
 
 
-def test_an_agent_that_is_slow_and_not_hung_is_heard_and_the_next_call_does_not_wait_for_it() -> None:
-    """The first call is answered once two more have come; what they get is older than what it told."""
+def test_slow_agent_answer_is_used_and_does_not_delay_the_next_call() -> None:
+    """The first call is answered after two more have arrived; those get an older list."""
     calls: list[bytes] = []
     third, heard = asyncio.Event(), asyncio.Event()
 
@@ -734,8 +740,8 @@
 # ---- peers
 
 
-def test_a_watch_that_waits_goes_on_at_once_where_discovery_has_moved() -> None:
-    """The old address may stay silent: nothing waits for it."""
+def test_pending_watch_moves_to_a_new_discovery_address_at_once() -> None:
+    """The old address may never answer: the watch does not wait for it."""
 
     async def test() -> None:
         asked = SETTINGS | {"Discovery": "on_request"}
@@ -756,7 +762,7 @@
     run(test())
 
 
-def test_messages_go_to_a_peer_by_number_and_only_peers_are_heard() -> None:
+def test_messages_are_sent_to_peers_by_number_and_accepted_only_from_peers() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         other, stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Rare orders of events at the sockets, each made to happen: what comes between two steps of the program."""
+"""Race conditions at the sockets: each test forces a rare order of events."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from tests.sidecar import SETTINGS, Seen, accepting, always_ok, endpoint, never, ok, request, run, sidecar
 from tests.test_leaving import LateConnections, completed
 from tests.test_retuning import swap
-from tests.test_stream import Handler, hangs, raw
+from tests.test_stream import Handler, hangs, raw_engine
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_that_of_the_next_request(
+def test_late_duplicate_answer_is_not_taken_for_that_of_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It comes once the next request has been decided on, and that one is sent to the same endpoint."""
+    """The duplicate arrives after the next request has been assigned to the same endpoint."""
     monkeypatch.setattr(upstream, "REST", 200_000_000)
 
     async def test() -> None:
@@ -47,7 +47,7 @@
                 await answers_twice(reader, writer)
 
         opened: list[bool] = []
-        async with raw(answers) as dial, sidecar(dial) as node:
+        async with raw_engine(answers) as dial, sidecar(dial) as node:
             client = await node.client()
             assert await client.ask(request()) == (200, {b"content-length": b"5"}, b"first")
             client.writer.write(request())
@@ -59,8 +59,8 @@
     run(test())
 
 
-def test_what_comes_late_after_a_stop_is_answered_before_the_process_is_killed() -> None:
-    """A client goes on sending on a connection that stayed open, and the engine hangs beyond that time."""
+def test_late_request_during_the_drain_is_answered_before_the_kill() -> None:
+    """A client sends on a connection that is still open, and the engine never answers."""
 
     async def test() -> None:
         async with endpoint(never) as hangs, sidecar(hangs.dial) as node:
@@ -73,13 +73,13 @@
             [one] = node.host._open.values()
             assert one.deadline_timer is not None
             left = one.deadline_timer.when() - node.host._loop.time()
-            assert round(left * 1000) <= 3600  # the loop counts whole milliseconds, in floats
+            assert round(left * 1000) <= 3600  # the loop counts whole milliseconds, as floats
 
     run(test())
 
 
-def test_settings_taken_up_while_a_body_comes_do_not_leave_its_request_with_a_laxer_effect() -> None:
-    """It came as one that may not run twice; by its end its class may, and has another method."""
+def test_reload_during_an_upload_does_not_give_the_request_a_laxer_effect() -> None:
+    """When it began, its class could not be repeated; after the reload it can, with another method."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -95,7 +95,7 @@
     run(test())
 
 
-def test_a_crash_in_one_action_leaves_neither_its_request_nor_any_other_unanswered(
+def test_exception_in_an_action_leaves_no_request_unanswered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -110,8 +110,8 @@
     run(test())
 
 
-def test_a_deadline_that_comes_a_moment_early_sends_nothing_more() -> None:
-    """Timers count in milliseconds, the decisions in nanoseconds: a moment is left, another engine idle."""
+def test_deadline_timer_that_fires_early_sends_no_further_attempt() -> None:
+    """Timers count milliseconds, the balancer nanoseconds: time seems left, and another engine is idle."""
 
     async def test() -> None:
         async with endpoint(never) as one, endpoint(never) as other, sidecar(one.dial, other.dial) as node:
@@ -129,8 +129,8 @@
     run(test())
 
 
-def test_what_never_went_out_by_its_deadline_never_ran() -> None:
-    """Its connection has not come up: a request that may not run twice is refused, not failed."""
+def test_request_not_sent_by_its_deadline_is_refused_as_not_run() -> None:
+    """Its connection is not up yet, so an unrepeatable request is refused, not failed."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -154,12 +154,12 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_repeat_goes_out_within_the_window_in_which_it_is_dropped_or_not_at_all(late: bool) -> None:
-    """It was decided within it, and its connection comes up later."""
+def test_repeat_is_sent_only_within_its_deduplication_window(late: bool) -> None:
+    """The repeat is decided within the window, and its connection comes up later."""
 
     async def test() -> None:
         async def breaks(seen: Seen) -> None:
-            connections.let.clear()  # that of the next attempt comes up once it is let
+            connections.let.clear()  # the next attempt's connection comes up once `let` is set
             return None
 
         async with (
@@ -185,7 +185,7 @@
 
 
 def established(connection: Connection) -> bool:
-    """Whether neither side has ended its sending, by the kernel."""
+    """Whether the kernel reports the TCP state ESTABLISHED: neither side has shut down."""
     assert connection._transport is not None
     told = connection._transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
     return bool(told[0] == 1)
@@ -198,11 +198,11 @@
 
 
 @pytest.mark.parametrize("engine", [hangs, answers_nonsense])
-def test_an_attempt_that_ends_is_off_before_the_decisions_can_send_another(engine: Handler) -> None:
-    """Timed out or answered with nonsense: no moment in which two attempts of the request are out."""
+def test_ended_attempt_is_shut_down_before_another_can_be_sent(engine: Handler) -> None:
+    """After a timeout or a malformed answer, two attempts of a request must never be out at once."""
 
     async def test() -> None:
-        async with raw(engine) as dial, sidecar(dial) as node:
+        async with raw_engine(engine) as dial, sidecar(dial) as node:
             out: list[tuple[int, bool]] = []
             handle = node.host._balancer.handle
 
@@ -228,8 +228,8 @@
     run(test())
 
 
-def test_connections_that_wait_to_be_taken_as_the_listener_closes_are_taken_and_answered() -> None:
-    """The loop stands still over the end of the time for new connections, and clients come meanwhile."""
+def test_queued_connections_are_accepted_and_answered_while_the_listener_closes() -> None:
+    """Clients connect while the loop is blocked until after the end of accepting."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -239,7 +239,7 @@
             address = listener.getsockname()
             clients = [socket.create_connection(address) for _ in range(20)]
             for one in clients:
-                one.sendall(request())  # from here on the sidecar's machine has it
+                one.sendall(request())  # in the kernel's buffer from here on
             await acceptor.close()
             for one in clients:
                 one.setblocking(False)
@@ -251,9 +251,9 @@
     run(test())
 
 
-def test_of_more_that_wait_than_are_allowed_each_has_room_made_for_it_in_turn() -> None:
-    """Idle clients fill the queue: what is kept of the descriptors for other uses stays free, and the most
-    holds again at once."""
+def test_queued_connections_over_the_limit_displace_idle_ones_one_at_a_time() -> None:
+    """Idle clients fill the queue: the descriptors kept back for other uses stay free, and the limit on
+    clients holds again at once."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -1,10 +1,9 @@
-"""Room for descriptors that run short is made by connections whose close loses nothing.
+"""When descriptors run short, only connections are closed whose close loses nothing.
 
-What happened: `socket` failed with EMFILE while requests came in pieces, and two or three of 20 clients were
-reset in their first request. Why: the last choice of `Frontend._spare` took any connection of which a part of
-a head had been read, however young; and one failed `socket` sufficed to close a client, where `accept` waits
-for a second. What showed it: `short, request 0: ConnectionResetError` in the test of a process below, and a
-client with half a head read that is closed as soon as room is asked for.
+Guards against two faults: `Frontend._closable` offered, as its last choice, connections of which part of a
+head had been read; and a single failed `socket` call closed a client, whereas `accept` waits for a second
+failure. With requests arriving in pieces and `socket` failing with EMFILE, two or three of 20 clients were
+reset in their first request (`short, request 0: ConnectionResetError` in the process test below).
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 @contextlib.contextmanager
 def failing_sockets(count: int) -> Iterator[None]:
-    """So many calls to socket fail for want of descriptors, one after the other."""
+    """Let the next `count` calls of socket fail with EMFILE."""
     left, make = [count], transport._connect_socket
 
     async def connected(family: int, target: Address) -> socket.socket:
@@ -45,8 +44,8 @@
 HALF = len(request()) // 2
 
 
-async def half_asked(node: Sidecar) -> Client:
-    """A client that has sent half of its first request, which has been read."""
+async def client_with_half_request(node: Sidecar) -> Client:
+    """Return a client whose first request has been sent and read by half."""
     known = len(node.frontend._connections)
     client = await node.client()
     client.writer.write(request()[:HALF])
@@ -55,37 +54,37 @@
     return client
 
 
-async def gets_its_answer(client: Client) -> bool:
+async def completes_request(client: Client) -> bool:
     return (await client.ask(request()[HALF:]))[0] == 200
 
 
-def test_a_client_in_the_middle_of_its_first_request_makes_no_room() -> None:
+def test_client_with_a_partial_first_request_is_not_closed_to_free_a_descriptor() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
-            client = await half_asked(node)
+            client = await client_with_half_request(node)
             node.frontend.make_room()
             await asyncio.sleep(0)
-            assert await gets_its_answer(client)
+            assert await completes_request(client)
 
     run(test())
 
 
-def test_nor_does_it_where_the_most_clients_are_there_and_another_comes() -> None:
-    """The newcomer, of which nothing is read, is closed in its place."""
+def test_client_with_a_partial_first_request_is_not_closed_at_the_client_limit() -> None:
+    """The new connection, of which nothing has been read, is closed instead."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
-            clients = [await half_asked(node) for _ in range(3)]
+            clients = [await client_with_half_request(node) for _ in range(3)]
             node.frontend._max_connections = 3
             assert await (await node.client()).ended()
             for client in clients:
-                assert await gets_its_answer(client)
+                assert await completes_request(client)
 
     run(test())
 
 
-def test_nor_does_a_client_that_has_just_connected() -> None:
-    """Its request is on its way. One that has said nothing for a while makes room."""
+def test_client_that_just_connected_is_not_closed_to_free_a_descriptor() -> None:
+    """Its request may be about to arrive. One that stays silent for a while is closed."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -102,8 +101,8 @@
     run(test())
 
 
-def test_one_socket_that_cannot_be_made_closes_no_idle_client() -> None:
-    """As with accept: one failure may pass by itself."""
+def test_single_failed_socket_call_closes_no_idle_client() -> None:
+    """As with accept, a single failure may be transient."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -123,8 +122,8 @@
 
 
 @needs_compiler
-def test_no_request_in_pieces_is_lost_where_sockets_cannot_be_made(tmp_path: Path) -> None:
-    """One of two reads moves a single byte, and one of three calls to socket fails."""
+def test_no_split_request_is_lost_while_socket_calls_fail(tmp_path: Path) -> None:
+    """Every second read returns a single byte, and every third call of socket fails."""
 
     async def test() -> None:
         for error in (errno.EMFILE, errno.ENFILE):
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Long bodies, slow peers, and every form in which HTTP/1.1 frames a message."""
+"""Streamed bodies, slow peers, and all forms of HTTP/1.1 message framing."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 from tests.sidecar import Sidecar, configuration, dead_dial, endpoint, ok, request, run, sidecar, status
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-LONG = bytes(range(256)) * 2048  # half a megabyte, in which a lost or repeated piece shows
+LONG = bytes(range(256)) * 2048  # 512 KiB; a lost or repeated piece changes it
 
 
 @contextlib.asynccontextmanager
-async def raw(handler: Handler) -> AsyncIterator[str]:
-    """An engine that does with its connections what the handler does; its address."""
+async def raw_engine(handler: Handler) -> AsyncIterator[str]:
+    """Run an engine whose connections are served by the handler, and yield its address."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -81,7 +81,7 @@
     return b"".join(b"%x;n=v\r\n%s\r\n" % (len(p), p) for p in pieces) + b"0\r\n" + trailer + b"\r\n"
 
 
-def posted(framing: bytes, extra: bytes = b"") -> bytes:
+def post_head(framing: bytes, extra: bytes = b"") -> bytes:
     return request("post", extra=extra + framing)
 
 
@@ -90,8 +90,8 @@
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
 
-async def nothing_held(node: Sidecar) -> None:
-    """Wait until the ledger is empty; then no memory is reserved any more."""
+async def wait_until_released(node: Sidecar) -> None:
+    """Wait until the ledger is empty, and check that no memory is reserved any more."""
     while node.host._open:
         await asyncio.sleep(0.01)
     assert node.host.budget.used == 0
@@ -101,14 +101,16 @@
 @pytest.mark.parametrize(
     "sent",
     [
-        posted(LENGTH) + LONG,
-        posted(CHUNKED) + chunked(LONG),
-        posted(CHUNKED) + chunked(LONG, trailer=TRAILER),
-        posted(CHUNKED) + chunked(LONG[:WHOLE_MOST], trailer=TRAILER),
+        post_head(LENGTH) + LONG,
+        post_head(CHUNKED) + chunked(LONG),
+        post_head(CHUNKED) + chunked(LONG, trailer=TRAILER),
+        post_head(CHUNKED) + chunked(LONG[:WHOLE_MOST], trailer=TRAILER),
     ],
 )
 @pytest.mark.parametrize("form", ["length", "chunks", "close"])
-def test_long_bodies_pass_unchanged_in_both_directions_whatever_their_framing(sent: bytes, form: str) -> None:
+def test_long_bodies_are_forwarded_unchanged_in_both_directions_with_any_framing(
+    sent: bytes, form: str
+) -> None:
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         headers = await head_of(reader)
         assert headers[b"req-id"] == b"9b1f"
@@ -122,21 +124,21 @@
         await writer.drain()
 
     async def test() -> None:
-        async with raw(echo) as dial, sidecar(dial) as node:
+        async with raw_engine(echo) as dial, sidecar(dial) as node:
             client = await node.client()
             expected = LONG if len(sent) > len(LONG) else LONG[:WHOLE_MOST]
-            for _ in range(2):  # the client's connection stays in step
+            for _ in range(2):  # the client's connection stays usable
                 client.writer.write(sent)
                 headers = await head_of(client.reader)
                 assert await body_of(client.reader, headers) == expected
-            await nothing_held(node)
+            await wait_until_released(node)
             figures = node.host.standing.figures()
             assert figures["passed"]["post"] == figures["upstream_tries"] == 2
 
     run(test())
 
 
-def test_blanks_around_a_header_value_are_no_part_of_it() -> None:
+def test_whitespace_around_a_header_value_is_ignored() -> None:
     async def test() -> None:
         async with endpoint(lambda seen: _ok()) as served, sidecar(served.dial) as node:
             raw_request = request("post").replace(b"Req-Kind: post\r\n", b"Req-Kind: \t post \t\r\n")
@@ -149,7 +151,7 @@
     return ok()
 
 
-def test_a_long_answer_is_not_cut_by_the_deadline_once_it_has_begun() -> None:
+def test_streamed_answer_is_not_cut_off_by_the_deadline() -> None:
     async def test() -> None:
         overdue = asyncio.Event()
 
@@ -160,26 +162,26 @@
             writer.write(LONG[100_000:])
             await writer.drain()
 
-        async with raw(slow) as dial, sidecar(dial) as node:
+        async with raw_engine(slow) as dial, sidecar(dial) as node:
             client = await node.client()
             client.writer.write(request(deadline="0.2"))
             headers = await head_of(client.reader)
-            begun = await client.reader.readexactly(100_000)  # it goes on as it comes
-            [ledger] = node.host._open.values()
-            while node.host.now() < ledger.expires + 10**8:
+            begun = await client.reader.readexactly(100_000)  # streamed before the answer is complete
+            [pending] = node.host._open.values()
+            while node.host.now() < pending.expires + 10**8:
                 await asyncio.sleep(0.05)
             event = await node.event(lambda e: isinstance(e, api.Completed))
-            assert (event.outcome, event.over) == (Outcome.OK, True)  # the module hears of its beginning
+            assert (event.outcome, event.over) == (Outcome.OK, True)  # reported as soon as the answer begins
             overdue.set()
             rest = await client.reader.readexactly(int(headers[b"content-length"]) - len(begun))
             assert begun + rest == LONG
-            await nothing_held(node)
+            await wait_until_released(node)
 
     run(test())
 
 
 @pytest.mark.parametrize("framing", [CHUNKED, b""])
-def test_a_slow_answer_of_unknown_length_goes_on_as_it_comes_from_half_of_its_time_on(framing: bytes) -> None:
+def test_slow_answer_of_unknown_length_is_streamed_after_half_of_its_timeout(framing: bytes) -> None:
     def piece(body: bytes) -> bytes:
         return b"%x\r\n%s\r\n" % (len(body), body) if framing else body
 
@@ -195,15 +197,15 @@
             writer.write(piece(b"last") + (b"0\r\n\r\n" if framing else b""))
             await writer.drain()
 
-        async with raw(slow) as dial, sidecar(dial) as node:
+        async with raw_engine(slow) as dial, sidecar(dial) as node:
             client = await node.client()
             client.writer.write(request(deadline="0.5"))
             while not node.host._open:
                 await asyncio.sleep(0.01)
-            [ledger] = node.host._open.values()
-            assert ledger.attempt is not None
-            assert time.monotonic_ns() < ledger.attempt._eager_from < time.monotonic_ns() + 250_000_000
-            while time.monotonic_ns() < ledger.attempt._eager_from:
+            [pending] = node.host._open.values()
+            assert pending.attempt is not None
+            assert time.monotonic_ns() < pending.attempt._eager_from < time.monotonic_ns() + 250_000_000
+            while time.monotonic_ns() < pending.attempt._eager_from:
                 await asyncio.sleep(0.01)
             half.set()
             await head_of(client.reader)
@@ -211,23 +213,25 @@
             assert await client.reader.readexactly(len(begun)) == begun
             heard.set()
             assert await chunks_of(client.reader) == b"last"
-            await nothing_held(node)
+            await wait_until_released(node)
 
     run(test())
 
 
-def test_the_module_is_told_the_time_to_the_head_of_a_long_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_completed_event_of_a_streamed_answer_has_the_time_to_its_head(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
-        async with raw(hangs) as dial, sidecar(dial) as node:
+        async with raw_engine(hangs) as dial, sidecar(dial) as node:
             client = await node.client()
             client.writer.write(request())
             while not node.host._open:
                 await asyncio.sleep(0.01)
-            [ledger] = node.host._open.values()
-            attempt, long = ledger.attempt, Stream(lambda on: None, None)
+            [pending] = node.host._open.values()
+            attempt, long = pending.attempt, Stream(lambda on: None, None)
             assert attempt is not None
             with monkeypatch.context() as patch:
-                patch.setattr(node.host, "now", lambda: ledger.sent_at + 500_000_000)
+                patch.setattr(node.host, "now", lambda: pending.sent_at + 500_000_000)
                 patch.setattr("time.monotonic_ns", lambda: 10**12)
                 attempt._end(Outcome.OK, Answer(200, [], b"", long, 10**12 - 300_000_000))
             event = await node.event(lambda e: isinstance(e, api.Completed))
@@ -243,7 +247,7 @@
 
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
 @pytest.mark.parametrize("framing", [LENGTH, CHUNKED])
-def test_the_client_can_tell_a_long_answer_that_breaks_from_a_whole_one(
+def test_streamed_answer_that_breaks_is_visibly_incomplete_for_the_client(
     version: bytes, framing: bytes
 ) -> None:
     async def breaking(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -254,7 +258,7 @@
         writer.transport.abort()
 
     async def test() -> None:
-        async with raw(breaking) as dial, sidecar(dial) as node:
+        async with raw_engine(breaking) as dial, sidecar(dial) as node:
             client = await node.client()
             client.writer.write(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             with contextlib.suppress(ConnectionError):
@@ -262,20 +266,20 @@
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     if version == b"1.0" and framing == CHUNKED:
                         assert headers[b"connection"] == b"close"
-                        await client.reader.read()  # ended by close: only a reset tells
+                        await client.reader.read()  # delimited by close: only a reset shows the break
                     else:
                         await body_of(client.reader, headers)
-            await nothing_held(node)
+            await wait_until_released(node)
             assert node.host.standing.figures()["bad_gateway"]["read"] == 1
             assert node.host.standing.figures()["passed"]["read"] == 0
 
     run(test())
 
 
-def test_an_answer_that_ends_with_its_connection_is_not_whole_where_the_sidecar_ends_it(
+def test_answer_delimited_by_close_is_incomplete_if_the_sidecar_closes_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The engine falls silent in the middle of it, and is given up: an end, but not the engine's."""
+    """The engine stalls in the middle of its answer, and the sidecar aborts the connection."""
     monkeypatch.setattr(connection, "STALL_TIMEOUT", 0.05)
 
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -284,23 +288,23 @@
         await reader.read()
 
     async def test() -> None:
-        async with raw(silent) as dial, sidecar(dial) as node:
+        async with raw_engine(silent) as dial, sidecar(dial) as node:
             client = await node.client()
             client.writer.write(request())
             headers = await head_of(client.reader)
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await body_of(client.reader, headers)
-            await nothing_held(node)
+            await wait_until_released(node)
             assert node.host.standing.figures()["passed"]["read"] == 0
             assert node.host.standing.figures()["bad_gateway"]["read"] == 1
 
     run(test())
 
 
-def test_a_client_that_reads_too_late_can_tell_that_its_answer_was_broken_off(
+def test_client_that_stops_reading_gets_a_reset_instead_of_a_truncated_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It is of HTTP/1.0, to which the end of the connection is that of the answer."""
+    """The client uses HTTP/1.0, so the close of the connection delimits the answer."""
     monkeypatch.setattr(frontend, "STALL_TIMEOUT", 0.05)
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -310,7 +314,7 @@
             await writer.drain()
 
     async def test() -> None:
-        async with raw(script) as dial, sidecar(dial) as node:
+        async with raw_engine(script) as dial, sidecar(dial) as node:
             client = await node.client()
             transport = cast(asyncio.Transport, client.writer.transport)
             transport.pause_reading()
@@ -326,14 +330,14 @@
     run(test())
 
 
-def test_an_old_caller_gets_an_answer_without_chunks_that_ends_with_the_connection() -> None:
+def test_http10_client_gets_an_unchunked_answer_delimited_by_close() -> None:
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await head_of(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n" + CHUNKED + b"\r\n" + chunked(LONG))
         await writer.drain()
 
     async def test() -> None:
-        async with raw(script) as dial, sidecar(dial) as node:
+        async with raw_engine(script) as dial, sidecar(dial) as node:
             client = await node.client()
             client.writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
             headers = await head_of(client.reader)
@@ -342,34 +346,34 @@
     run(test())
 
 
-def test_interim_answers_are_passed_over() -> None:
+def test_interim_answers_are_ignored() -> None:
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await head_of(reader)
         writer.write(b"HTTP/1.1 103 Early\r\nLink: a\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + ok(b"done"))
         await writer.drain()
 
     async def test() -> None:
-        async with raw(script) as dial, sidecar(dial) as node:
+        async with raw_engine(script) as dial, sidecar(dial) as node:
             code, headers, body = await (await node.client()).ask(request("post"))
             assert (code, body) == (200, b"done") and b"link" not in headers
 
     run(test())
 
 
-# ---- when a long request may be sent again
+# ---- retries of streamed requests
 
 
-def test_a_long_request_is_tried_elsewhere_as_long_as_nothing_of_it_was_handed_on() -> None:
+def test_streamed_request_is_retried_while_none_of_its_body_was_forwarded() -> None:
     async def test() -> None:
         async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             assert await body_of(reader, await head_of(reader)) == LONG
             writer.write(ok(b"taken"))
             await writer.drain()
 
-        async with raw(take) as dial, sidecar(*(dead_dial() for _ in range(3)), dial) as node:
+        async with raw_engine(take) as dial, sidecar(*(dead_dial() for _ in range(3)), dial) as node:
             node.host._balancer.budget = 5.0
             for _ in range(4):
-                code, _, body = await (await node.client()).ask(posted(LENGTH) + LONG)
+                code, _, body = await (await node.client()).ask(post_head(LENGTH) + LONG)
                 assert (code, body) == (200, b"taken")
             assert any(
                 isinstance(e, api.Completed) and e.outcome == Outcome.CONNECT_FAILED for e in node.events
@@ -379,34 +383,36 @@
 
 
 @pytest.mark.parametrize("refused", [False, True])
-def test_a_long_request_that_was_begun_is_not_sent_again_and_never_ran(refused: bool) -> None:
+def test_partly_forwarded_request_is_refused_and_not_retried(refused: bool) -> None:
     begun: list[bytes] = []
 
     async def stop(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await head_of(reader)
         begun.append(await reader.readexactly(1000))
-        if refused:  # the answer comes before the body is whole
+        if refused:  # the answer arrives before the body is complete
             writer.write(status(503, b"Srv-Declined: 1"))
             await writer.drain()
             await reader.read()
         writer.transport.abort()
 
     async def test() -> None:
-        async with raw(stop) as one, raw(stop) as other, sidecar(one, other) as node:
+        async with raw_engine(stop) as one, raw_engine(stop) as other, sidecar(one, other) as node:
             client = await node.client()
-            client.writer.write(posted(LENGTH) + LONG[:200_000])
+            client.writer.write(post_head(LENGTH) + LONG[:200_000])
             code, _, _ = await client.answer()
             assert code == 503 and len(begun) == 1
-            client.writer.write(LONG[200_000:])  # it still sends the rest, and is understood afterwards
+            client.writer.write(
+                LONG[200_000:]
+            )  # the rest is discarded, and the next request is parsed correctly
             assert (await client.ask(request("odd")))[0] == 400
-            await nothing_held(node)
+            await wait_until_released(node)
             figures = node.host.standing.figures()
             assert figures["upstream_tries"] == 0 and figures["dropped"]["post"] == 1
 
     run(test())
 
 
-def test_a_client_that_leaves_in_the_middle_of_its_body_frees_all_that_was_its() -> None:
+def test_client_leaving_during_its_upload_frees_memory_and_connections() -> None:
     async def test() -> None:
         arrived, left = asyncio.Event(), asyncio.Event()
 
@@ -417,19 +423,19 @@
                 await reader.read()
             left.set()
 
-        async with raw(wait) as dial, sidecar(dial) as node:
+        async with raw_engine(wait) as dial, sidecar(dial) as node:
             client = await node.client()
-            client.writer.write(posted(LENGTH) + LONG[:100_000])
+            client.writer.write(post_head(LENGTH) + LONG[:100_000])
             await arrived.wait()
             client.writer.close()
             await left.wait()
-            await nothing_held(node)
+            await wait_until_released(node)
             assert node.host.upstream.connections == 0
 
     run(test())
 
 
-def test_a_client_that_leaves_in_the_middle_of_its_answer_ends_the_engines_sending() -> None:
+def test_client_leaving_during_its_answer_closes_the_engine_connection() -> None:
     async def test() -> None:
         left = asyncio.Event()
 
@@ -443,13 +449,13 @@
             except ConnectionError:
                 left.set()
 
-        async with raw(endless) as dial, sidecar(dial) as node:
+        async with raw_engine(endless) as dial, sidecar(dial) as node:
             client = await node.client()
             client.writer.write(request())
             await client.reader.readexactly(100_000)
             client.writer.transport.abort()
             await left.wait()
-            await nothing_held(node)
+            await wait_until_released(node)
 
     run(test())
 
@@ -457,7 +463,7 @@
 # ---- memory
 
 
-def test_without_room_a_request_is_refused_unsent_and_room_comes_back() -> None:
+def test_request_without_body_memory_is_refused_unsent_until_memory_is_released() -> None:
     async def test() -> None:
         go_on = asyncio.Event()
 
@@ -473,19 +479,19 @@
             assert (await second.ask(request()))[0] == 503
             go_on.set()
             assert (await first.answer())[0] == 200
-            await nothing_held(node)
+            await wait_until_released(node)
             assert (await second.ask(request()))[0] == 200
             assert len(served.seen) == 2 and node.host.standing.figures()["dropped"]["read"] == 1
 
     run(test())
 
 
-def test_answers_that_a_client_does_not_read_hold_their_memory_until_it_leaves() -> None:
+def test_unread_answers_keep_their_memory_reserved_until_the_client_leaves() -> None:
     async def test() -> None:
-        async with endpoint(lambda seen: _big()) as served, sidecar(served.dial) as node:
+        async with endpoint(lambda seen: _max_buffered_answer()) as served, sidecar(served.dial) as node:
             client = await node.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            for _ in range(400):  # far more than the kernel takes
+            for _ in range(400):  # far more than the kernel buffers
                 client.writer.write(request())
             await asyncio.wait_for(client.writer.drain(), None)
             while not any(c._write_blocked and len(c._exchanges) >= 16 for c in node.frontend._connections):
@@ -495,51 +501,51 @@
             held = sum(request.reserved for request in node.host._open.values())
             assert held == node.host.budget.used == WHOLE_MOST * len(node.host._open) > 0
             client.writer.transport.abort()
-            await nothing_held(node)
+            await wait_until_released(node)
 
     run(test())
 
 
-async def _big() -> bytes:
+async def _max_buffered_answer() -> bytes:
     return ok(b"x" * WHOLE_MOST)
 
 
-def test_the_memory_for_bodies_leaves_room_for_a_second_process() -> None:
+def test_body_memory_limit_allows_for_a_second_process() -> None:
     told = config.parse(configuration(limits={"memory_mb": 80}))
     own = 15_000_000
     assert 2 * (own + told.bodies_most(own)) < told.memory
     assert config.parse(configuration(limits={})).memory == config.MEMORY_LEAST * 1_000_000
 
 
-class Taker:
-    """A sink that takes what it is told to."""
+class RecordingSink:
+    """A sink that records what it receives."""
 
     def __init__(self) -> None:
-        self.got: list[Any] = []
+        self.pieces: list[Any] = []
 
     def body(self, piece: bytes) -> None:
-        self.got.append(piece)
+        self.pieces.append(piece)
 
     def body_end(self, whole: bool) -> None:
-        self.got.append(whole)
+        self.pieces.append(whole)
 
 
-def test_a_stream_pauses_its_source_without_a_sink_or_while_that_is_clogged() -> None:
+def test_stream_pauses_its_source_without_a_sink_or_while_the_sink_pauses_it() -> None:
     paused: list[bool] = []
-    stream, sink = Stream(paused.append, None), Taker()
+    stream, sink = Stream(paused.append, None), RecordingSink()
     stream.feed(b"a")
     assert paused == [True] and not stream.started
     stream.attach(sink)
-    assert paused == [True, False] and sink.got == [b"a"] and stream.started
+    assert paused == [True, False] and sink.pieces == [b"a"] and stream.started
     stream.set_paused(True)
     stream.set_paused(False)
     assert paused[2:] == [True, False]
     stream.finish(True)
-    stream.set_paused(True)  # the source has gone on to other things
-    assert paused[4:] == [] and sink.got == [b"a", True]
+    stream.set_paused(True)  # after the end the source is not paused any more
+    assert paused[4:] == [] and sink.pieces == [b"a", True]
 
 
-def test_a_dropped_stream_throws_away_what_comes_and_holds_nobody_up() -> None:
+def test_dropped_stream_discards_further_pieces_and_resumes_its_source() -> None:
     paused: list[bool] = []
     stream = Stream(paused.append, 5)
     stream.feed(b"ab")
@@ -549,10 +555,10 @@
     assert paused == [True, False] and not stream._buffered
 
 
-# ---- the client's side by hand: any cut, and the clock
+# ---- client connections driven directly: any split of the input, and a simulated clock
 
 
-class Handle:
+class FakeTimer:
     def __init__(self, after: float, call: Callable[..., None], args: tuple[Any, ...]) -> None:
         self.after, self.call, self.args = after, call, args
         self.cancelled = False
@@ -561,12 +567,12 @@
         self.cancelled = True
 
 
-class Loop:
+class FakeLoop:
     def __init__(self) -> None:
-        self.timers: list[Handle] = []
+        self.timers: list[FakeTimer] = []
 
-    def call_later(self, after: float, call: Callable[..., None], *args: Any) -> Handle:
-        self.timers.append(Handle(after, call, args))
+    def call_later(self, after: float, call: Callable[..., None], *args: Any) -> FakeTimer:
+        self.timers.append(FakeTimer(after, call, args))
         return self.timers[-1]
 
     def time(self) -> float:
@@ -578,8 +584,8 @@
             timer.call(*timer.args)
 
 
-class Wire:
-    """A transport to a client that reads all it is sent, and sends only what is fed."""
+class FakeTransport:
+    """A transport to a client that reads everything; input comes from Peer.feed."""
 
     def __init__(self) -> None:
         self.written: list[bytes] = []
@@ -605,69 +611,69 @@
     def resume_reading(self) -> None: ...
 
     def events(self) -> int:
-        """What the socket reports, as the program's own transport has it."""
+        """Poll the socket as the program's own transport does."""
         watched = select.poll()
         watched.register(self.socket.fileno(), select.POLLIN | select.POLLRDHUP)
         return next((events for _, events in watched.poll(0)), 0)
 
 
-class Ledger:
-    """Takes the requests of a connection and answers each with 'taken' once it is whole."""
+class FakeHost:
+    """A host that answers each request with 'taken' once it is complete."""
 
     def __init__(self) -> None:
         self.budget = Budget(10**8)
         self.rules = Rules(Telemetry())
         self.listed = self.informed = self.answers = True
-        self.taken: list[tuple[bytes, bytes]] = []  # method and body of each
-        self.gone_ids: list[int] = []
+        self.received: list[tuple[bytes, bytes]] = []  # method and body of each
+        self.abandoned_ids: list[int] = []
         self._ids = 0
-        self.sinks: list[LedgerSink] = []
+        self.sinks: list[UploadSink] = []
 
     def request(
-        self, exchange: Exchange, incoming: Incoming, room: int, upload: Stream | None = None
+        self, exchange: Exchange, incoming: Incoming, reservation: int, upload: Stream | None = None
     ) -> None:
         self._ids += 1
         exchange.id = self._ids
-        self.budget.give(room)
+        self.budget.give(reservation)
         if upload is None:
             self.take(exchange, incoming, incoming.body)
         else:
-            self.sinks.append(LedgerSink(self, exchange, incoming))
+            self.sinks.append(UploadSink(self, exchange, incoming))
             upload.attach(self.sinks[-1])
 
     def uploaded(self, rid: int) -> None: ...
 
     def take(self, exchange: Exchange, incoming: Incoming, body: bytes) -> None:
-        self.taken.append((incoming.head.split()[0], body))
+        self.received.append((incoming.head.split()[0], body))
         if self.answers:
             exchange.serve(Answer(200, [], b"taken"))
 
     def count(self, name: str) -> None: ...
 
     def gone(self, rid: int) -> None:
-        self.gone_ids.append(rid)
+        self.abandoned_ids.append(rid)
 
     def finish_request(self, rid: int, broken: bool = False) -> None: ...
 
 
-class LedgerSink(Taker):
-    def __init__(self, ledger: Ledger, exchange: Exchange, incoming: Incoming) -> None:
+class UploadSink(RecordingSink):
+    def __init__(self, host: FakeHost, exchange: Exchange, incoming: Incoming) -> None:
         super().__init__()
-        self._ledger, self._exchange, self._incoming = ledger, exchange, incoming
+        self._host, self._exchange, self._incoming = host, exchange, incoming
 
     def body_end(self, whole: bool) -> None:
-        self._ledger.take(self._exchange, self._incoming, b"".join(self.got))
+        self._host.take(self._exchange, self._incoming, b"".join(self.pieces))
 
 
 class Peer:
-    """A client's connection, fed by hand."""
+    """A client connection whose input the test supplies."""
 
     def __init__(self) -> None:
-        self.loop, self.ledger, self.wire = Loop(), Ledger(), Wire()
+        self.loop, self.host, self.transport = FakeLoop(), FakeHost(), FakeTransport()
         told = config.parse(configuration())
-        frontend = Frontend(told, cast(Any, self.ledger), cast(Any, self.loop))
+        frontend = Frontend(told, cast(Any, self.host), cast(Any, self.loop))
         self.connection = ClientConnection(frontend)
-        self.connection.connection_made(cast(Any, self.wire))
+        self.connection.connection_made(cast(Any, self.transport))
 
     def feed(self, data: bytes) -> None:
         for at in range(0, len(data), MAX_READ_SIZE):
@@ -680,18 +686,18 @@
             self.loop.tick()
 
     @property
-    def said(self) -> bytes:
-        return b"".join(self.wire.written)
+    def output(self) -> bytes:
+        return b"".join(self.transport.written)
 
 
-SHORT, BARELY, OVER = b"s" * 300, b"b" * WHOLE_MOST, b"o" * (WHOLE_MOST + 1)
+SHORT, AT_LIMIT, OVER_LIMIT = b"s" * 300, b"b" * WHOLE_MOST, b"o" * (WHOLE_MOST + 1)
 FORMS = [
     (request(), b"GET", b""),
     (request("post", body=SHORT), b"POST", SHORT),
-    (posted(CHUNKED) + chunked(SHORT, 7, b"X-Sum: 5\r\n"), b"POST", SHORT),
-    (posted(CHUNKED) + chunked(BARELY), b"POST", BARELY),
-    (posted(CHUNKED) + chunked(OVER, 30_000, b"Req-Kind: read\r\n"), b"POST", OVER),
-    (request("post", body=OVER), b"POST", OVER),
+    (post_head(CHUNKED) + chunked(SHORT, 7, b"X-Sum: 5\r\n"), b"POST", SHORT),
+    (post_head(CHUNKED) + chunked(AT_LIMIT), b"POST", AT_LIMIT),
+    (post_head(CHUNKED) + chunked(OVER_LIMIT, 30_000, b"Req-Kind: read\r\n"), b"POST", OVER_LIMIT),
+    (request("post", body=OVER_LIMIT), b"POST", OVER_LIMIT),
 ]
 
 
@@ -700,16 +706,16 @@
     st.lists(st.sampled_from(FORMS), min_size=1, max_size=5),
     st.lists(st.integers(1, 300_000), max_size=30),
 )
-def test_requests_are_the_same_wherever_they_are_cut(
+def test_requests_are_parsed_alike_however_the_input_is_split(
     forms: list[tuple[bytes, bytes, bytes]], cuts: list[int]
 ) -> None:
     peer, sent = Peer(), b"".join(form[0] for form in forms)
     ends = sorted({cut % (len(sent) + 1) for cut in cuts} | {0, len(sent)})
     for start, end in itertools.pairwise(ends):
         peer.feed(sent[start:end])
-    assert peer.ledger.taken == [(method, body) for _, method, body in forms]
-    assert peer.said.count(b"HTTP/1.1 200 OK") == len(forms)
-    assert peer.ledger.budget.used == 0
+    assert peer.host.received == [(method, body) for _, method, body in forms]
+    assert peer.output.count(b"HTTP/1.1 200 OK") == len(forms)
+    assert peer.host.budget.used == 0
 
 
 SMUGGLED = b"GET /admin HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -732,24 +738,24 @@
         b"Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n",
     ],
 )
-def test_a_framing_that_can_be_read_in_two_ways_is_refused_and_ends_the_connection(framing: bytes) -> None:
+def test_ambiguous_framing_gets_400_and_closes_the_connection(framing: bytes) -> None:
     peer = Peer()
-    peer.feed(posted(framing) + b"0\r\n\r\n" + SMUGGLED)
-    assert peer.ledger.taken == [] and peer.ledger.budget.used == 0
-    assert peer.said.startswith(b"HTTP/1.1 400 ") and peer.said.count(b"HTTP/1.1") == 1
-    assert peer.wire.closed
+    peer.feed(post_head(framing) + b"0\r\n\r\n" + SMUGGLED)
+    assert peer.host.received == [] and peer.host.budget.used == 0
+    assert peer.output.startswith(b"HTTP/1.1 400 ") and peer.output.count(b"HTTP/1.1") == 1
+    assert peer.transport.closed
 
 
-def test_a_transfer_coding_that_would_be_lost_on_the_way_gets_400() -> None:
+def test_transfer_coding_other_than_chunked_gets_400() -> None:
     peer = Peer()
-    peer.feed(posted(b"Transfer-Encoding: gzip, chunked\r\n") + chunked(SHORT))
-    assert peer.said.startswith(b"HTTP/1.1 400 ") and peer.ledger.taken == []
+    peer.feed(post_head(b"Transfer-Encoding: gzip, chunked\r\n") + chunked(SHORT))
+    assert peer.output.startswith(b"HTTP/1.1 400 ") and peer.host.received == []
 
 
-def test_after_an_answer_that_ends_the_connection_nothing_more_is_said() -> None:
-    """An old caller is told the end of an answer of unknown length by the end of the connection alone."""
+def test_no_answer_follows_one_that_closes_the_connection() -> None:
+    """An HTTP/1.0 client sees the end of an answer of unknown length only by the close."""
     peer = Peer()
-    peer.ledger.answers = False
+    peer.host.answers = False
     peer.feed(2 * request(extra=b"Connection: keep-alive\r\n").replace(b"HTTP/1.1", b"HTTP/1.0"))
     first, second = peer.connection._exchanges
     second.serve(Answer(200, [], b"too late"))
@@ -757,124 +763,124 @@
     first.serve(Answer(200, [], b"", rest))
     rest.feed(b"all")
     rest.finish(True)
-    assert peer.said.endswith(b"\r\n\r\nall") and peer.said.count(b"HTTP/1.1 200") == 1
-    assert peer.wire.closed
+    assert peer.output.endswith(b"\r\n\r\nall") and peer.output.count(b"HTTP/1.1 200") == 1
+    assert peer.transport.closed
 
 
-def test_a_stopping_sidecar_answers_a_request_that_had_begun_to_come_before_it_closes() -> None:
+def test_draining_sidecar_answers_a_partly_received_request_before_it_closes() -> None:
     peer = Peer()
-    peer.ledger.answers = False
+    peer.host.answers = False
     peer.feed(request() + request()[:40])
     peer.connection.frontend.draining = True
     peer.connection._exchanges[0].serve(Answer(200, [], b"first"))
-    assert b"Connection: close" not in peer.said and not peer.wire.closed
+    assert b"Connection: close" not in peer.output and not peer.transport.closed
     peer.feed(request()[40:])
-    peer.wire.other_end.send(request())  # a third lies in the kernel
+    peer.transport.other_end.send(request())  # a third request is in the kernel's buffer
     peer.connection._exchanges[0].serve(Answer(200, [], b"second"))
-    assert b"Connection: close" not in peer.said and not peer.wire.closed
-    peer.feed(peer.wire.socket.recv(10_000))
+    assert b"Connection: close" not in peer.output and not peer.transport.closed
+    peer.feed(peer.transport.socket.recv(10_000))
     peer.connection._exchanges[0].serve(Answer(200, [], b"third"))
-    assert peer.said.count(b"Connection: close") == 1 and peer.wire.closed
+    assert peer.output.count(b"Connection: close") == 1 and peer.transport.closed
 
 
 @pytest.mark.parametrize("closing", [b"", b"Connection: close\r\n"])
-def test_nonsense_after_a_proper_request_does_not_answer_for_it(closing: bytes) -> None:
+def test_malformed_input_after_a_valid_request_does_not_affect_its_answer(closing: bytes) -> None:
     peer = Peer()
-    peer.ledger.answers = False
+    peer.host.answers = False
     peer.feed(request(extra=closing) + b"\x01nonsense\r\n\r\n")
-    assert peer.said == b"" and 1 not in peer.ledger.gone_ids
+    assert peer.output == b"" and 1 not in peer.host.abandoned_ids
     peer.connection._exchanges[0].serve(Answer(200, [], b"done"))
-    assert peer.said.startswith(b"HTTP/1.1 200") and peer.wire.closed
-    assert (b"HTTP/1.1 400" in peer.said) == (not closing)
+    assert peer.output.startswith(b"HTTP/1.1 200") and peer.transport.closed
+    assert (b"HTTP/1.1 400" in peer.output) == (not closing)
 
 
-def test_pieces_of_a_byte_are_held_and_passed_on_together() -> None:
+def test_single_byte_chunks_are_forwarded_in_larger_pieces() -> None:
     peer = Peer()
-    peer.feed(posted(CHUNKED) + chunked(OVER, 1))
-    assert peer.ledger.taken == [(b"POST", OVER)]
-    pieces = len(peer.ledger.sinks[0].got)
-    assert pieces <= len(chunked(OVER, 1)) / MAX_READ_SIZE + 1
+    peer.feed(post_head(CHUNKED) + chunked(OVER_LIMIT, 1))
+    assert peer.host.received == [(b"POST", OVER_LIMIT)]
+    pieces = len(peer.host.sinks[0].pieces)
+    assert pieces <= len(chunked(OVER_LIMIT, 1)) / MAX_READ_SIZE + 1
 
 
-def test_a_body_beyond_the_most_gets_413_however_it_is_framed() -> None:
+def test_body_over_the_maximum_size_gets_413_with_any_framing() -> None:
     peer = Peer()
-    peer.feed(posted(b"Content-Length: %d\r\n" % (MAX_BODY_SIZE + 1)))
-    assert peer.said.startswith(b"HTTP/1.1 413 ")
+    peer.feed(post_head(b"Content-Length: %d\r\n" % (MAX_BODY_SIZE + 1)))
+    assert peer.output.startswith(b"HTTP/1.1 413 ")
     peer = Peer()
-    peer.feed(posted(CHUNKED))
+    peer.feed(post_head(CHUNKED))
     megabyte = b"%x\r\n%s\r\n" % (2**20, bytes(2**20))
     for _ in range(32):
         peer.feed(megabyte)
-    assert peer.said == b""
+    assert peer.output == b""
     peer.feed(b"1\r\nx\r\n")
-    assert peer.said.startswith(b"HTTP/1.1 413 ") and peer.ledger.gone_ids == [1]
-    peer.feed(megabyte)  # what it still sends is thrown away
+    assert peer.output.startswith(b"HTTP/1.1 413 ") and peer.host.abandoned_ids == [1]
+    peer.feed(megabyte)  # further input is discarded
 
 
-def test_a_client_that_waits_is_told_to_send_once_its_turn_has_come() -> None:
+def test_client_that_expects_100_continue_gets_it() -> None:
     peer = Peer()
-    peer.feed(posted(LENGTH, b"Expect: 100-Continue\r\n"))
-    assert peer.said == b"HTTP/1.1 100 Continue\r\n\r\n"
+    peer.feed(post_head(LENGTH, b"Expect: 100-Continue\r\n"))
+    assert peer.output == b"HTTP/1.1 100 Continue\r\n\r\n"
     peer.feed(LONG)
-    assert peer.ledger.taken == [(b"POST", LONG)] and b"HTTP/1.1 200" in peer.said
+    assert peer.host.received == [(b"POST", LONG)] and b"HTTP/1.1 200" in peer.output
 
 
-def test_a_client_that_waits_and_gets_a_final_answer_instead_is_not_told_to_send() -> None:
+def test_client_that_expects_100_continue_gets_none_with_a_final_answer() -> None:
     for raw_request in (
-        posted(LENGTH, b"Expect: 100-continue\r\n").replace(b"Req-Kind: post", b"Req-Kind: odd"),
-        posted(LENGTH, b"Expect: 100-continue\r\nX: " + b"x" * 40_000 + b"\r\n"),
+        post_head(LENGTH, b"Expect: 100-continue\r\n").replace(b"Req-Kind: post", b"Req-Kind: odd"),
+        post_head(LENGTH, b"Expect: 100-continue\r\nX: " + b"x" * 40_000 + b"\r\n"),
     ):
         peer = Peer()
         peer.feed(raw_request)
-        assert peer.said.startswith(b"HTTP/1.1 4") and b"100 Continue" not in peer.said
-        assert b"Connection: close" in peer.said
+        assert peer.output.startswith(b"HTTP/1.1 4") and b"100 Continue" not in peer.output
+        assert b"Connection: close" in peer.output
 
 
-def test_a_head_may_take_two_seconds_and_no_longer_than_a_peer_is_owed() -> None:
+def test_head_may_take_two_seconds_and_gets_408_before_three() -> None:
     assert 2.0 < HEAD_TIMEOUT < BODY_CHECK_START < 3.0
     peer = Peer()
     peer.wait(1.0)
     peer.feed(request()[:50])
     peer.wait(1.25)
-    assert not peer.wire.closed
+    assert not peer.transport.closed
     peer.feed(request()[50:])
-    assert len(peer.ledger.taken) == 1
+    assert len(peer.host.received) == 1
     peer.feed(request()[:50])
     peer.wait(HEAD_TIMEOUT)
-    assert b"HTTP/1.1 408" in peer.said and peer.wire.closed
+    assert b"HTTP/1.1 408" in peer.output and peer.transport.closed
 
 
 @pytest.mark.parametrize("every", [0.25, 1.0])
-def test_a_body_at_the_least_rate_is_taken_in_pieces_of_any_size(every: float) -> None:
+def test_body_at_the_minimum_client_rate_is_accepted_in_pieces_of_any_size(every: float) -> None:
     peer = Peer()
     peer.wait(2.0)
-    peer.feed(posted(LENGTH))
+    peer.feed(post_head(LENGTH))
     piece = int(64_000 * every)
     for at in range(0, len(LONG), piece):
         peer.wait(every)
         peer.feed(LONG[at : at + piece])
-    assert peer.ledger.taken == [(b"POST", LONG)]
+    assert peer.host.received == [(b"POST", LONG)]
 
 
-def test_a_body_that_stalls_or_trickles_gets_408() -> None:
+def test_body_that_stalls_or_is_too_slow_gets_408() -> None:
     peer = Peer()
-    peer.feed(posted(LENGTH) + LONG[:60_000])
+    peer.feed(post_head(LENGTH) + LONG[:60_000])
     peer.wait(3.0)
-    assert peer.said.startswith(b"HTTP/1.1 408") and peer.ledger.gone_ids == [1]
+    assert peer.output.startswith(b"HTTP/1.1 408") and peer.host.abandoned_ids == [1]
     peer = Peer()
-    peer.feed(posted(LENGTH))
+    peer.feed(post_head(LENGTH))
     for at in range(12):
-        peer.feed(LONG[at * MIN_BODY_RATE // 8 : (at + 1) * MIN_BODY_RATE // 8])  # half of the least rate
+        peer.feed(LONG[at * MIN_BODY_RATE // 8 : (at + 1) * MIN_BODY_RATE // 8])  # half of the minimum rate
         peer.wait(REQUEST_CHECK_INTERVAL)
-    assert peer.said.startswith(b"HTTP/1.1 408") and peer.wire.closed
+    assert peer.output.startswith(b"HTTP/1.1 408") and peer.transport.closed
 
 
-def test_the_time_in_which_nobody_takes_the_body_is_not_the_clients() -> None:
+def test_time_while_the_upload_is_paused_does_not_count_against_the_client() -> None:
     peer = Peer()
-    peer.feed(posted(LENGTH) + LONG[:1000])
+    peer.feed(post_head(LENGTH) + LONG[:1000])
     peer.connection._pause_upload(True)
     peer.wait(30.0)
-    assert peer.said == b""
+    assert peer.output == b""
     peer.connection._pause_upload(False)
     peer.feed(LONG[1000:])
-    assert peer.ledger.taken == [(b"POST", LONG)]
+    assert peer.host.received == [(b"POST", LONG)]
