--- a/sprucenotch/node/connection.py
+++ b/sprucenotch/node/connection.py
@@ -82,15 +82,15 @@
     def send(
         self,
         data: bytes,
-        done: AnswerCallback,
-        written: Callable[[], None] = nothing,
-        free: Callable[[], None] = nothing,
+        on_answer: AnswerCallback,
+        on_written: Callable[[], None] = nothing,
+        on_finished: Callable[[], None] = nothing,
         upload: Stream | None = None,
     ) -> bool:
         """Write a request, whose body comes from `upload` if it is streamed. Return False if its last byte
-        was not sent. Otherwise `done` is called once with the answer: UNREADABLE if it is
-        malformed, None if the connection broke. `written` is called once the last byte has been sent, `free`
-        once the answer has ended.
+        certainly was not sent. Otherwise `on_answer` is called once with the answer: UNREADABLE if it is
+        malformed, None if the connection broke. `on_written` is called once the last byte has been sent,
+        `on_finished` once the answer has ended.
         """
         transport = self._transport
         if transport is None or transport.is_closing():
@@ -103,7 +103,7 @@
         if transport.is_closing():  # the peer was first
             self.close()
             return False
-        self._on_answer, self._on_written, self._on_finished = done, written, free
+        self._on_answer, self._on_written, self._on_finished = on_answer, on_written, on_finished
         self._upload, self._answer_stream = upload, None
         self._request_written, self.whole = upload is None, False
         if upload is not None:
@@ -116,11 +116,11 @@
         """Send a request and wait for its answer; None if the connection breaks first."""
         answered: asyncio.Future[Answer | None] = asyncio.get_running_loop().create_future()
 
-        def done(answer: Answer | None) -> None:
+        def on_answer(answer: Answer | None) -> None:
             if not answered.done():
                 answered.set_result(answer)
 
-        return await answered if self.send(request, done) else None
+        return await answered if self.send(request, on_answer) else None
 
     def close(self) -> None:
         """Abort the connection without calling the callbacks of the current request."""
@@ -220,9 +220,9 @@
             self._deliver_stream()
             self._watch_progress()
 
-    def _feed_stream(self, rest: Stream) -> None:
+    def _feed_stream(self, stream: Stream) -> None:
         if self._body:
-            rest.feed(bytes(self._body))
+            stream.feed(bytes(self._body))
             self._body.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -247,9 +247,9 @@
 
     def _deliver_stream(self) -> None:
         """Pass on a streamed answer as it begins."""
-        done, self._on_answer = self._on_answer, None
-        if done is not None:
-            done(Answer(self._status, self._headers, b"", self._answer_stream, self._head_time_ns))
+        on_answer, self._on_answer = self._on_answer, None
+        if on_answer is not None:
+            on_answer(Answer(self._status, self._headers, b"", self._answer_stream, self._head_time_ns))
 
     def _finish(self, answer: Answer | None, keep: bool) -> None:
         """End the exchange: the answer is complete, or no more of it will arrive."""
@@ -260,15 +260,15 @@
         if self._answer_stream is not None:
             self._feed_stream(self._answer_stream)
             self._deliver_stream()
-        rest, self._answer_stream = self._answer_stream, None
-        done, self._on_answer = self._on_answer, None
-        free, self._on_finished = self._on_finished, nothing
-        if rest is not None:
-            rest.finish(self._answer_complete)
+        stream, self._answer_stream = self._answer_stream, None
+        on_answer, self._on_answer = self._on_answer, None
+        on_finished, self._on_finished = self._on_finished, nothing
+        if stream is not None:
+            stream.finish(self._answer_complete)
         self._pause_answer(False)
-        free()
-        if done is not None:
-            done(answer)
+        on_finished()
+        if on_answer is not None:
+            on_answer(answer)
 
     # ---- httptools' callbacks
 
--- a/sprucenotch/node/exchange.py
+++ b/sprucenotch/node/exchange.py
@@ -40,8 +40,8 @@
         forwarded = [h for h in answer.headers if h[0] not in UNFORWARDED_ANSWER_HEADERS]
         self.put(Answer(200, forwarded, answer.body, answer.rest))
 
-    def refuse(self, stay_away: int) -> None:
-        headers = [(b"Retry-After", b"%.3f" % (stay_away / SECOND))] if stay_away else []
+    def refuse(self, retry_after: int) -> None:
+        headers = [(b"Retry-After", b"%.3f" % (retry_after / SECOND))] if retry_after else []
         self.say(503, b"refused; trying again is harmless", headers)
 
     def fail(self, timed_out: bool) -> None:
--- a/sprucenotch/node/frontend.py
+++ b/sprucenotch/node/frontend.py
@@ -484,7 +484,7 @@
             return
         long = length is not None and length > WHOLE_MOST
         body_size = MAX_READ_SIZE if long else WHOLE_MOST + MAX_READ_SIZE if length is None else length
-        if not self.frontend.host.budget.take(body_size + ANSWER_RESERVATION):
+        if not self.frontend.host.budget.reserve(body_size + ANSWER_RESERVATION):
             self.frontend.host.count_memory_refusal(self._incoming)
             exchange.refuse(0)
             return
@@ -500,7 +500,7 @@
         )
 
     def _release_reserved(self) -> None:
-        self.frontend.host.budget.give(self._reserved)
+        self.frontend.host.budget.release(self._reserved)
         self._reserved = 0
 
     def _feed_upload(self, exchange: Exchange) -> None:
--- a/sprucenotch/node/host.py
+++ b/sprucenotch/node/host.py
@@ -49,6 +49,8 @@
 
 
 class Host:
+    """Connects the balancer to client connections, servers, discovery, peers, timers and telemetry."""
+
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
         self._settings = config.settings
         self._loop, self.now = loop, clock.now
@@ -84,6 +86,7 @@
     # ---- events
 
     def start(self, known: HostList) -> None:
+        """Start the balancer with the host list known from before."""
         self._schedule_status(self._loop.time() + STATUS_EVERY)
         self.post(api.Attached())
         self.learn(known, api.ListKind.CACHED)
@@ -133,6 +136,7 @@
         self.post(api.Recalled(learned, age))
 
     def learned(self) -> api.Learned:
+        """Return what the balancer has learned so far, to be stored or handed over."""
         return self._balancer.learned(self.now())
 
     def confirm(self) -> None:
@@ -318,7 +322,7 @@
         """Release memory that is no longer needed; drop a request that has finished and has no attempt."""
         active = not request.answered or request.attempt is not None
         reserved = (request.reservation if active else 0) + request.outgoing_size
-        self.budget.give(request.reserved - reserved)
+        self.budget.release(request.reserved - reserved)
         request.reserved = reserved
         if active:
             return
--- a/sprucenotch/node/stream.py
+++ b/sprucenotch/node/stream.py
@@ -23,14 +23,14 @@
     def __init__(self, most: int) -> None:
         self.most, self.used = most, 0
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Reserve so many bytes; False if they would exceed the limit."""
         if self.used + size > self.most:
             return False
         self.used += size
         return True
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Release so many reserved bytes."""
         self.used -= size
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -192,9 +192,8 @@
             await program.until(asked.is_set)
             crowd.open_again()
             client = await connected(listen)
-            assert (await client.ask(request()))[
-                0
-            ] == 503  # all engine connections are in use: refused unsent
+            # All engine connections are in use, so the request is refused unsent.
+            assert (await client.ask(request()))[0] == 503
             go_on.set()
             assert [(await held.answer())[0] for held in out] == [200] * told.upstream_most
             crowd.open_again()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -35,9 +35,8 @@
     status,
 )
 
-WITHOUT_PEERS = SETTINGS | {
-    "Limits": SETTINGS["Limits"] | {"Peers": False}
-}  # engines of the subset are probed
+# Without peers the engines of the subset are probed.
+WITHOUT_PEERS = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Peers": False}}
 
 
 def gone(event: api.Event) -> bool:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -265,9 +265,8 @@
             event = await node.event(completed)
             for again in (event, api.Gone(event.id), api.Timer(event.id + 1), api.Timer(77)):
                 node.host.post(again)
-            node.host._send(
-                api.Send(event.id, event.endpoint, 0)
-            )  # the request has finished: must not be sent
+            # The request has finished, so it must not be sent.
+            node.host._send(api.Send(event.id, event.endpoint, 0))
             assert (await client.ask(request()))[0] == 200 and len(served.seen) == 2
 
     run(test())
@@ -648,9 +647,8 @@
 def test_handshakes_and_discovery_calls_are_counted_for_the_status_event(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(
-        "sprucenotch.node.host.STATUS_EVERY", 3600.0
-    )  # no status event resets the counts meanwhile
+    # No status event resets the counts during the test.
+    monkeypatch.setattr("sprucenotch.node.host.STATUS_EVERY", 3600.0)
 
     async def failing(seen: Seen) -> bytes:
         return status(503)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -1,9 +1,9 @@
 """When descriptors run short, only connections are closed whose close loses nothing.
 
-Guards against two faults: `Frontend._closable` offered, as its last choice, connections of which part of a
-head had been read; and a single failed `socket` call closed a client, whereas `accept` waits for a second
-failure. With requests arriving in pieces and `socket` failing with EMFILE, two or three of 20 clients were
-reset in their first request (`short, request 0: ConnectionResetError` in the process test below).
+Guards against two faults: `Frontend._closable` offered, as its last choice, connections that had sent part
+of a head, however young; and a single failed `socket` call closed a client, whereas `accept` waits for a
+second failure. With requests arriving in pieces and `socket` failing with EMFILE, two or three of 20 clients
+were reset in their first request (`short, request 0: ConnectionResetError` in the process test below).
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
 
 
 def test_client_with_a_partial_first_request_is_not_closed_at_the_client_limit() -> None:
-    """The new connection, of which nothing has been read, is closed instead."""
+    """The new connection, from which nothing has been read, is closed instead."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -401,9 +401,8 @@
             client.writer.write(post_head(LENGTH) + LONG[:200_000])
             code, _, _ = await client.answer()
             assert code == 503 and len(begun) == 1
-            client.writer.write(
-                LONG[200_000:]
-            )  # the rest is discarded, and the next request is parsed correctly
+            # The rest is discarded, and the next request is parsed correctly.
+            client.writer.write(LONG[200_000:])
             assert (await client.ask(request("odd")))[0] == 400
             await wait_until_released(node)
             figures = node.host.standing.figures()
@@ -634,7 +633,7 @@
     ) -> None:
         self._ids += 1
         exchange.id = self._ids
-        self.budget.give(reservation)
+        self.budget.release(reservation)
         if upload is None:
             self.take(exchange, incoming, incoming.body)
         else:
