--- a/sprucenotch/node/attempt.py
+++ b/sprucenotch/node/attempt.py
@@ -1,4 +1,4 @@
-"""An attempt: one request on its way to one endpoint, from the decision to its outcome."""
+"""An attempt: one request sent to one endpoint, from the decision to send it until its outcome."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class Purpose(Protocol):
-    """What an attempt is made for."""
+    """What an attempt is made for: it can cancel the attempt before the request is sent."""
 
     def wanted(self, now: int) -> bool:
-        """Whether it may still go out."""
+        """Return whether the request may still be sent. `now` is in nanoseconds."""
         ...
 
     def sent(self, pool: Pool) -> None:
-        """Its first byte has gone out."""
+        """Called once the first byte of the request has been sent."""
         ...
 
 
-class Always:
-    """For an attempt that nothing but its endpoint can make unwanted."""
+class AlwaysWanted:
+    """A purpose that never cancels the attempt."""
 
     def wanted(self, now: int) -> bool:
         return True
@@ -39,15 +39,18 @@
         pass
 
 
-ALWAYS = Always()
+ALWAYS_WANTED = AlwaysWanted()
 
 
 class Attempt:
-    """A request on its way to an endpoint. It ends exactly once, with the answer or as a long one begins."""
+    """One request sent to one endpoint.
+
+    It completes exactly once: with the whole answer, or when a streamed answer begins.
+    """
 
     __slots__ = (
-        "__weakref__", "_connect", "_connection", "_done", "_eager_from", "_failed_here", "_payload",
-        "_place", "_pool", "_purpose", "_rest", "_upload", "_upstream", "_written",
+        "__weakref__", "_connect", "_connection", "_done", "_eager_from", "_failed_locally", "_location",
+        "_payload", "_pool", "_purpose", "_rest", "_upload", "_upstream", "_written",
     )  # fmt: skip
 
     def __init__(
@@ -61,28 +64,30 @@
         upload: Stream | None,
     ) -> None:
         self._upstream, self._pool, self._payload = upstream, pool, payload
-        self._place = pool.place  # for which it was decided
+        self._location = pool.location  # at the time of the decision
         self._written, self._purpose, self._upload = written, purpose, upload
         self._done: Callable[[int, Answer | None], None] | None = done
         self._connection: Connection | None = None
         self._connect: asyncio.Task[None] | None = None
-        self._rest: asyncio.TimerHandle | None = None  # while a connection that is to be used rests
+        self._rest: asyncio.TimerHandle | None = None  # while it waits until an idle connection may be reused
         self._eager_from = NEVER
-        self._failed_here = False  # this machine could not make the connection when that was last tried
+        self._failed_locally = False  # whether the last connect failed on this machine
 
     def start(self) -> None:
         connection = self._upstream.take(self._pool)
         if connection is not None:
             self._write(connection)
-        elif self._pool.idle and self._rest is None:  # once, so REST at most
-            self._upstream.rest_awaited(self._pool)
-            self._rest = self._upstream.loop.call_later(self._upstream.rests(self._pool), self._rested)
-        elif self._upstream.room():
+        elif self._pool.idle and self._rest is None:  # at most one wait, bounded by REST
+            self._upstream.note_reuse_wait(self._pool)
+            self._rest = self._upstream.loop.call_later(
+                self._upstream.rests(self._pool), self._on_reuse_delay_over
+            )
+        elif self._upstream.ensure_capacity():
             self._connect = self._upstream.loop.create_task(self._open())
         else:
             self._end(Outcome.LOCAL_FAILURE, None)
 
-    def _rested(self) -> None:
+    def _on_reuse_delay_over(self) -> None:
         if not self._purpose.wanted(self._upstream.now()):
             self._end(Outcome.MOOT, None)
         elif self._pool.health != Health.READY:
@@ -91,8 +96,11 @@
             self.start()
 
     def hasten(self, at: int) -> None:
-        """From then on, by the monotonic clock, there is hardly time for another attempt: hold back no answer
-        any more for the sake of one."""
+        """Stop holding back answers from `at` on, in nanoseconds of the monotonic clock.
+
+        An answer is held back so that the request can still be retried; after `at` there is no time for
+        another attempt.
+        """
         self._eager_from = at
         if self._connection is not None:
             self._connection.eager_from = at
@@ -103,14 +111,17 @@
 
     @property
     def partial(self) -> bool:
-        """Whether the request has gone out in part: ended here, it never runs."""
+        """Whether only a part of the request has been sent. Closed now, it is never executed."""
         return self._connection is not None and not self._whole
 
     def abandon(self, outcome: int) -> None:
-        """Stop waiting: the connection's sending ends before anything else happens for the request. One whose
-        last byte has not gone out by then never ran, whatever it is called off for."""
+        """Cancel the attempt and close its connection, before anything else is done for the request.
+
+        A request whose last byte has not been sent was never executed, so a timeout is then reported as a
+        failure to connect.
+        """
         if outcome == Outcome.TIMEOUT and not self._whole:
-            outcome = Outcome.LOCAL_FAILURE if self._failed_here else Outcome.CONNECT_FAILED
+            outcome = Outcome.LOCAL_FAILURE if self._failed_locally else Outcome.CONNECT_FAILED
         if self._rest is not None:
             self._rest.cancel()
         if self._connect is not None:
@@ -122,11 +133,11 @@
     async def _open(self) -> None:
         connection, failure = None, Outcome.CONNECT_FAILED
         try:
-            connection = await self._upstream.connect(self._pool, self._fails_here)
-        except OSError as problem:  # a time-out is one
+            connection = await self._upstream.connect(self._pool, self._note_local_failure)
+        except OSError as problem:  # includes TimeoutError
             if is_exhaustion(problem):
                 failure = Outcome.LOCAL_FAILURE
-        self._failed_here = False
+        self._failed_locally = False
         self._connect = None
         if self._done is None:
             if connection is not None:
@@ -136,15 +147,18 @@
         else:
             self._write(connection)
 
-    def _fails_here(self, problem: OSError) -> None:
-        self._failed_here = True
+    def _note_local_failure(self, problem: OSError) -> None:
+        self._failed_locally = True
 
     def _write(self, connection: Connection) -> None:
-        """The one place where the first byte of a request goes out. It was decided a while ago, so all that
-        may have changed meanwhile is judged again: the endpoint may drain, be gone, have moved or drop the
-        repeats of others, the client may have left, the time be over."""
+        """Send the request. This is the only place where the first byte of a request is sent.
+
+        Everything that may have changed since the decision is checked again: the endpoint may be draining,
+        removed or moved to another address, zone or cell (where retries are not deduplicated with earlier
+        attempts), the client may have left, the deadline may have passed.
+        """
         wanted = self._purpose.wanted(self._upstream.now())
-        if not (wanted and self._pool.takes(connection) and self._pool.place == self._place):
+        if not (wanted and self._pool.takes(connection) and self._pool.location == self._location):
             self._upstream.give(self._pool, connection)
             self._end(Outcome.CONNECT_FAILED if wanted else Outcome.MOOT, None)
             return
@@ -158,7 +172,7 @@
 
     def _answered(self, answer: Answer | None) -> None:
         if answer is None and self._connection is not None and not self._connection.whole:
-            self._end(Outcome.CONNECT_FAILED, None)  # it broke before the last byte: it never ran
+            self._end(Outcome.CONNECT_FAILED, None)  # closed before the last byte was sent: never executed
         else:
             self._end(outcome_of(answer), answer)
 
@@ -170,7 +184,7 @@
 
 
 def outcome_of(answer: Answer | None) -> int:
-    """What is not plainly declined or served may have run."""
+    """Return the outcome of an answer. Neither served nor explicitly declined, it may have been executed."""
     if answer is None:
         return Outcome.RESET
     if answer.status == 200:
--- a/sprucenotch/node/pool.py
+++ b/sprucenotch/node/pool.py
@@ -10,20 +10,20 @@
 
 
 class Pool:
-    """What is held to one endpoint."""
+    """The idle connections to one endpoint, and its entry in the list."""
 
-    __slots__ = ("dial", "health", "idle", "name", "opening", "place", "waited_at")
+    __slots__ = ("dial", "health", "idle", "last_wait_at", "location", "name", "spare_task")
 
     def __init__(self, host: Host) -> None:
         self.idle: list[Connection] = []
-        self.waited_at: int | None = None  # when an attempt last found all idle connections resting
-        self.opening: asyncio.Task[None] | None = None  # of another one, for when they rest
+        self.last_wait_at: int | None = None  # when an attempt last had to wait for one of them
+        self.spare_task: asyncio.Task[None] | None = None  # opens an additional connection
         self.update(host)
 
     def update(self, host: Host) -> None:
         self.name, self.dial, self.health = host.name, host.dial, host.endpoint.health
-        self.place = host.endpoint.zone, host.endpoint.cell
+        self.location = host.endpoint.zone, host.endpoint.cell
 
     def takes(self, connection: Connection) -> bool:
-        """Whether something new may go out there: the endpoint wants it, and has not moved meanwhile."""
+        """Whether a new request may be sent on it: the endpoint is ready and has kept its address."""
         return self.health == Health.READY and connection.dial == self.dial
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: which there are, how many, which is used next; attempts and probes begin here."""
+"""Connection pools of the endpoints, and the start of attempts and probes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 
 from sprucenotch.api import EndpointId, Health, Outcome
-from sprucenotch.node.attempt import ALWAYS, Attempt, Purpose
+from sprucenotch.node.attempt import ALWAYS_WANTED, Attempt, Purpose
 from sprucenotch.node.config import SECOND, Config, Host
 from sprucenotch.node.connection import Answer, Connection
 from sprucenotch.node.pool import Pool
@@ -14,24 +14,27 @@
 from sprucenotch.node.transport import connect
 from sprucenotch.seams.system_errors import Shortage, ignore, retried
 
-PROBE_TIMEOUT = 0.5
-IDLE_SHARE = 0.9  # a connection idle for this share of the endpoint's limit is not used again
-# A surplus connection, left by a burst, is closed once idle for so long. Each takes a part of the endpoint's
-# capacity; a new handshake costs as much work as holding one for two to six seconds.
+PROBE_TIMEOUT = 0.5  # seconds
+MAX_IDLE_SHARE = 0.9  # of the endpoint's idle limit; a connection idle for longer is not reused
+# Nanoseconds after which an idle connection left over from a burst is closed. Each open connection takes a
+# part of the endpoint's capacity; a handshake costs as much work as holding a connection for two to six
+# seconds.
 SURPLUS_IDLE = 4 * SECOND
 
-# An engine that misbehaves may answer twice, the second time some milliseconds late (1 to 4 ms as seen). An
-# answer names no request: on a connection that is used again by then, it would be taken for the next one's.
-# So one that has just come back rests, whatever its answer took: of 8,318 sends on kept connections 370 came
-# within this time of the answer before, and a second answer with the next request out goes to its client.
-# Bound of the wait: REST and TIMER_EARLY, once an attempt.
+# Nanoseconds for which a connection is not reused after an answer. A faulty engine may answer twice, the
+# second time 1 to 4 ms late. HTTP/1.1 answers carry no request id, so on a connection that is already reused
+# the second answer would be delivered to the client of the next request. The delay applies whatever the
+# duration of the answer: of 8,318 sends on kept connections, 370 came within this time of the previous
+# answer. An attempt waits at most once, for REST and TIMER_EARLY.
 REST = 6_000_000
-# A timer of the loop counts in whole milliseconds: from the last one begun, over its delay rounded to the
-# nearest. So it comes up to 1.5 ms early.
+# Seconds by which a timer of the event loop may fire early. The loop counts whole milliseconds: it starts at
+# the millisecond that has begun and rounds the delay to the nearest.
 TIMER_EARLY = 0.0015
 
 
 class Upstream:
+    """The connections to all endpoints, with the limit on their number."""
+
     def __init__(
         self,
         config: Config,
@@ -41,14 +44,14 @@
     ) -> None:
         self.loop, self.now, self._count = loop, now, count
         self.retune(config)
-        self._most = config.upstream_most
+        self._max_connections = config.upstream_most
         self._open = 0
         self._pools: dict[EndpointId, Pool] = {}
         self._probes: set[Attempt] = set()
-        self.make_room = nothing  # closes an idle client's connection; set where clients are held
+        self.make_room = nothing  # closes the connection of an idle client; set by the owner of the frontend
 
     def retune(self, config: Config) -> None:
-        self._idle_most = int(config.idle_limit * IDLE_SHARE)
+        self._max_idle_ns = int(config.idle_limit * MAX_IDLE_SHARE)
         self._connect_timeout = config.connect_timeout / SECOND
         self._fields = config.settings.report_fields
         path = "/metrics/load" if config.reports else "/alive"
@@ -57,10 +60,13 @@
     # ---- the list
 
     def learn(self, hosts: Iterable[Host], whole: bool) -> None:
-        """Take up the list before the decisions see it, so that connections on their way up see a drain."""
-        named = set()
+        """Apply a host list (`whole`) or changes to it.
+
+        Called before the balancer sees the list, so that a connection being opened already sees a drain.
+        """
+        listed = set()
         for host in hosts:
-            named.add(host.endpoint.id)
+            listed.add(host.endpoint.id)
             pool = self._pools.get(host.endpoint.id)
             if pool is None:
                 self._pools[host.endpoint.id] = Pool(host)
@@ -72,17 +78,17 @@
                 self._drop_idle(pool)
         if whole:
             for endpoint, pool in self._pools.items():
-                if endpoint not in named:
+                if endpoint not in listed:
                     pool.health = Health.GONE
                     self._drop_idle(pool)
         self._pools = {key: pool for key, pool in self._pools.items() if pool.health != Health.GONE}
 
     def __contains__(self, endpoint: object) -> bool:
-        """Whether it is listed, or was and drains."""
+        """Whether the endpoint is listed; a draining one is."""
         return endpoint in self._pools
 
     def name(self, endpoint: EndpointId) -> str:
-        """What discovery calls it; "gone" once it is not listed any more."""
+        """The endpoint's name in discovery; "gone" if it is no longer listed."""
         pool = self._pools.get(endpoint)
         return "gone" if pool is None else pool.name
 
@@ -103,18 +109,20 @@
         payload: Callable[[], bytes],
         done: Callable[[int, Answer | None], None],
         written: Callable[[], None] = nothing,
-        purpose: Purpose = ALWAYS,
+        purpose: Purpose = ALWAYS_WANTED,
         upload: Stream | None = None,
     ) -> Attempt | None:
-        """A new attempt, not yet started; None where the endpoint wants nothing new. Its purpose is asked
-        whether it is still wanted when its first byte is about to go out."""
+        """Create an attempt without starting it; None if the endpoint is not ready.
+
+        `purpose.wanted` is checked immediately before the first byte is sent.
+        """
         pool = self._pools.get(endpoint)
         if pool is None or pool.health != Health.READY:
             return None
         return Attempt(self, pool, payload, done, written, purpose, upload)
 
     def probe(self, endpoint: EndpointId, done: Callable[[int, int, tuple[float, ...]], None]) -> None:
-        began = self.now()
+        started_at = self.now()
 
         def ended(outcome: int, answer: Answer | None) -> None:
             timer.cancel()
@@ -123,7 +131,7 @@
                 answer.rest.drop()
             if answer is not None and answer.status == 503:
                 outcome = Outcome.FULL
-            done(outcome, self.now() - began, self.report(answer, body=True))
+            done(outcome, self.now() - started_at, self.report(answer, body=True))
 
         attempt = self.attempt(endpoint, lambda: self._probe, ended)
         if attempt is None:
@@ -134,7 +142,7 @@
         attempt.start()
 
     def report(self, answer: Answer | None, body: bool = False) -> tuple[float, ...]:
-        """The load report that came with an answer, in the order of the settings; () if there is none."""
+        """The load report in an answer, in the order of the settings; () if there is none."""
         if answer is None or not self._fields:
             return ()
         text = answer.header(b"srv-load") or (answer.body if body and answer.status == 200 else b"")
@@ -146,9 +154,10 @@
     def connections(self) -> int:
         return self._open
 
-    def room(self) -> bool:
-        """Whether one more connection may be opened; the longest idle one makes room if need be."""
-        if self._open < self._most:
+    def ensure_capacity(self) -> bool:
+        """Whether one more connection may be opened. At the limit, closes the longest idle connection
+        first."""
+        if self._open < self._max_connections:
             return True
         pools = [pool for pool in self._pools.values() if pool.idle]
         if not pools:
@@ -158,80 +167,87 @@
         return True
 
     def take(self, pool: Pool) -> Connection | None:
-        """The most recently used idle connection that has rested and is still good; others grow old and are
-        closed. If there is none, those left are resting."""
+        """Take the most recently used idle connection that may be reused and is still usable.
+
+        Connections that are too old or unusable are closed. If this returns None, all that remain idle are
+        still within their reuse delay.
+        """
         now, idle = self.now(), pool.idle
-        for place in range(len(idle) - 1, -1, -1):
-            connection = idle[place]
+        for index in range(len(idle) - 1, -1, -1):
+            connection = idle[index]
             if connection.rests_until > now:
                 continue
-            del idle[place]
-            if connection.idle_since > now - self._idle_most and connection.usable():
+            del idle[index]
+            if connection.idle_since > now - self._max_idle_ns and connection.usable():
                 return connection
             connection.close()
         return None
 
-    def rest_awaited(self, pool: Pool) -> None:
-        """An attempt waits for one of the pool's idle connections to rest. Where the last wait was within
-        SURPLUS_IDLE, another connection is worth its handshake. It is opened beside, one at a time, for the
-        attempts to come: it may come up late, and the rest is short."""
-        now, before = self.now(), pool.waited_at
-        pool.waited_at = now
-        often = before is not None and before >= now - SURPLUS_IDLE
-        if often and pool.opening is None and self._open < self._most:
-            pool.opening = self.loop.create_task(self._open_spare(pool))
+    def note_reuse_wait(self, pool: Pool) -> None:
+        """Record that an attempt waits until an idle connection may be reused.
+
+        If the last such wait was within SURPLUS_IDLE, another connection is worth its handshake. It is opened
+        in the background, one at a time, for later attempts: opening may take longer than the reuse delay.
+        """
+        now, previous_wait = self.now(), pool.last_wait_at
+        pool.last_wait_at = now
+        waited_recently = previous_wait is not None and previous_wait >= now - SURPLUS_IDLE
+        if waited_recently and pool.spare_task is None and self._open < self._max_connections:
+            pool.spare_task = self.loop.create_task(self._open_spare(pool))
 
     async def _open_spare(self, pool: Pool) -> None:
         try:
             connection = await self.connect(pool)
-        except OSError:  # a time-out is one
+        except OSError:  # includes TimeoutError
             return
         finally:
-            pool.opening = None
+            pool.spare_task = None
         self.give(pool, connection)
-        connection.rests_until = 0  # it has answered nothing yet
+        connection.rests_until = 0  # no answer yet, so no reuse delay
 
     def rests(self, pool: Pool) -> float:
-        """The delay of a timer that comes once the first of its idle connections has rested, in seconds."""
+        """Seconds until the first idle connection may be reused, as the delay of a timer."""
         until = min(connection.rests_until for connection in pool.idle)
         return max(0, until - self.now()) / SECOND + TIMER_EARLY
 
     def give(self, pool: Pool, connection: Connection) -> None:
-        if pool.takes(connection) and connection.open:  # what lies unread is heard of, or seen by take
+        """Return a connection to its pool, or close it if the endpoint no longer takes requests on it."""
+        if pool.takes(connection) and connection.open:  # unread data is reported later, or found by `take`
             connection.idle_since = now = self.now()
             connection.rests_until = now + REST
             pool.idle.append(connection)
-            # The newest is used first, so the surplus gathers at the old end; the last one stays.
+            # The most recently used is taken first, so surplus connections collect at the start of the list.
+            # The one just appended stays.
             while pool.idle[0].idle_since < now - SURPLUS_IDLE:
                 pool.idle.pop(0).close()
         else:
             connection.close()
 
     async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore) -> Connection:
-        """A new connection. It is counted until it is lost, which may be before this returns.
+        """Open a connection. It counts against the limit until it is lost, which may be before this returns.
 
-        One that fails on this machine is tried again, for as long as a connection may take to come up;
-        `failed` hears of it. Raises OSError, of which a time-out is one.
+        A failure on this machine is reported to `failed` and retried until the connect timeout. Raises
+        OSError, which includes TimeoutError.
         """
 
-        def lost(connection: Connection) -> None:
+        def on_lost(connection: Connection) -> None:
             if connection.counted:
                 connection.counted = False
                 self._open -= 1
             if connection in pool.idle:
                 pool.idle.remove(connection)
 
-        connection = Connection(lost)
+        connection = Connection(on_lost)
         connection.streams = connection.counted = True
         connection.dial = pool.dial
 
-        async def come_up() -> None:
+        async def open_connection() -> None:
             async with asyncio.timeout(self._connect_timeout):
                 await connect(connection, pool.dial)
 
         shortage = Shortage()
 
-        def failed_here(problem: OSError) -> None:
+        def on_local_failure(problem: OSError) -> None:
             self._count("connect_failed_here")
             if shortage.lasts(problem):
                 self.make_room()
@@ -240,17 +256,18 @@
         self._open += 1
         self._count("handshakes")
         try:
-            await retried(come_up, self._connect_timeout, failed_here)
+            await retried(open_connection, self._connect_timeout, on_local_failure)
         except BaseException:
-            # Given up in the turn in which it came up, it has not said that it is lost.
+            # A connection cancelled in the loop iteration in which it was established has not called on_lost.
             connection.close()
-            lost(connection)
+            on_lost(connection)
             raise
         return connection
 
 
 def parse_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """`TEXT name=value, ...` as values in the order of `fields`; () where any is missing or malformed."""
+    """Parse `TEXT name=value, ...` into values in the order of `fields`; () if any is missing or
+    malformed."""
     values: dict[str, float] = {}
     try:
         for part in text.decode("ascii").strip().removeprefix("TEXT").split(","):
--- a/sprucenotch/node/withdrawals.py
+++ b/sprucenotch/node/withdrawals.py
@@ -1,15 +1,16 @@
-"""Servers that drain or were removed, and older lists that must not bring them back.
+"""Keeps draining and removed servers from being restored by an older list.
 
-At one discovery service the version of the list only rises. After a move, discovery may be a replica that is
-behind, or a service that counts anew: both answer with a lower version than that of the list in hand, and
-nothing tells them apart. Their lists are taken, but a server that the newer list had drained or removed stays
-so until
+Within one discovery service the version of the list only increases. After a change of address, discovery may
+be a replica that lags behind, or a service that has restarted its versions: both answer with a lower version
+than that of the current list, and they cannot be told apart. Their lists are applied, but a server that the
+newer list had marked as draining or removed (withdrawn) stays withdrawn until
 
-- it has been started again, or
-- a list comes whose version is that of the newest list so far, or higher: the replica has caught up, or
-- RETENTION has passed since the withdrawal: the service counts anew, and a whole list is due.
+- it has been restarted, or
+- a list arrives whose version is at least that of the newest list so far: the replica has caught up, or
+- RETENTION has passed since the withdrawal: the service has restarted its versions, and a whole list is
+  fetched.
 
-Memory: the start of each listed server, and an entry for each that was withdrawn within RETENTION.
+Memory: the start time of each listed server, and an entry for each server withdrawn within RETENTION.
 """
 
 from __future__ import annotations
@@ -22,65 +23,67 @@
 from sprucenotch.api import EndpointId, Health
 from sprucenotch.node.config import SECOND, Host, HostList
 
-RETENTION = 60 * SECOND  # replicas are behind by seconds; a server kept out wrongly is back after this
+RETENTION = 60 * SECOND  # replicas lag by seconds; bounds how long a server can be excluded wrongly
 
 
 class Withdrawal(NamedTuple):
-    """Why a server is to get nothing new."""
+    """Why a server gets no new requests."""
 
-    started: int  # clock of the start that was withdrawn, in nanoseconds; 0: long ago
-    removed: bool  # from the list; else it drains
-    at: int  # clock at which the list that told it was taken
+    started: int  # start time of the withdrawn server process, in nanoseconds; 0: long ago
+    removed: bool  # whether it was removed from the list; otherwise it is draining
+    at: int  # time at which the list with the withdrawal was applied, in nanoseconds
 
 
 class Withdrawals:
-    """Follows the lists in the order in which they are taken. Does no I/O and has no clock."""
+    """Tracks withdrawals over the lists in the order in which they are applied. No I/O, no clock."""
 
     def __init__(self, known: HostList, now: int) -> None:
-        self._listed: dict[EndpointId, int] = {}  # start of each server in the list in hand
-        self._recent: dict[EndpointId, Withdrawal] = {}  # the oldest first
-        self._held: dict[EndpointId, Withdrawal] = {}  # withdrawn by a newer list than the one in hand
+        self._listed: dict[EndpointId, int] = {}  # start time of each server in the current list
+        self._recent: dict[EndpointId, Withdrawal] = {}  # oldest first
+        self._held_back: dict[EndpointId, Withdrawal] = {}  # withdrawn by a newer list than the current one
         self._version = self._newest = known.seq
-        self._follow(known, now)
+        self._record_list(known, now)
 
     def reconcile(self, told: HostList, now: int) -> HostList:
-        """The list as it is to be taken: no server comes back that a newer list had withdrawn."""
+        """Return the list to apply, without the servers that a newer list had withdrawn."""
         if told.seq < self._version:
-            self._forget(now)
-            self._held.update(self._recent)
+            self._expire(now)
+            self._held_back.update(self._recent)
         self._version = told.seq
         if told.seq >= self._newest:
             self._newest = told.seq
-            self._held.clear()
+            self._held_back.clear()
         elif told.whole:
-            self._held = {server: held for server, held in self._held.items() if held.at >= now - RETENTION}
-        if self._held:
-            told = structs.replace(told, hosts=tuple(self._without_returns(told)))
-        self._follow(told, now)
+            self._held_back = {
+                server: held for server, held in self._held_back.items() if held.at >= now - RETENTION
+            }
+        if self._held_back:
+            told = structs.replace(told, hosts=tuple(self._suppress_returns(told)))
+        self._record_list(told, now)
         return told
 
     def whole_list_due(self, now: int) -> bool:
-        """Whether a server was held back for RETENTION: only a whole list can bring it back."""
-        return any(held.at < now - RETENTION for held in self._held.values())
+        """Whether a server has been held back for RETENTION: only a whole list can restore it."""
+        return any(held.at < now - RETENTION for held in self._held_back.values())
 
-    def _without_returns(self, told: HostList) -> Iterator[Host]:
-        for host in told.hosts:
+    def _suppress_returns(self, update: HostList) -> Iterator[Host]:
+        for host in update.hosts:
             endpoint = host.endpoint
-            held = self._held.get(endpoint.id)
+            held = self._held_back.get(endpoint.id)
             if held is None or endpoint.started > held.started:
-                self._held.pop(endpoint.id, None)
+                self._held_back.pop(endpoint.id, None)
                 yield host
             elif endpoint.health == Health.GONE:
                 yield host
             elif not held.removed:
                 yield structs.replace(host, endpoint=endpoint._replace(health=Health.DRAINING))
 
-    def _follow(self, told: HostList, now: int) -> None:
-        """Note which servers are listed now, and which were withdrawn."""
-        before = self._listed if told.whole else {}
-        if told.whole:
+    def _record_list(self, update: HostList, now: int) -> None:
+        """Record which servers are listed now and which were withdrawn."""
+        before = self._listed if update.whole else {}
+        if update.whole:
             self._listed = {}
-        for host in told.hosts:
+        for host in update.hosts:
             endpoint = host.endpoint
             started = max(endpoint.started, self._listed.get(endpoint.id, 0))
             if endpoint.health == Health.GONE:
@@ -98,10 +101,10 @@
     def _withdraw(self, server: EndpointId, withdrawal: Withdrawal) -> None:
         self._recent.pop(server, None)
         self._recent[server] = withdrawal
-        self._forget(withdrawal.at)
+        self._expire(withdrawal.at)
 
-    def _forget(self, now: int) -> None:
-        """Drop withdrawals of over RETENTION ago."""
+    def _expire(self, now: int) -> None:
+        """Drop withdrawals older than RETENTION."""
         while self._recent:
             server = next(iter(self._recent))
             if self._recent[server].at >= now - RETENTION:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -117,7 +117,7 @@
             node.frontend.listening = True
             assert not node.frontend.ready
             hosts = node.config.known.hosts if whole else ()
-            node.discovery._take(config.HostList(node.config.known.seq, whole, hosts))
+            node.discovery._apply_list(config.HostList(node.config.known.seq, whole, hosts))
             assert node.frontend.ready
 
     run(test())
--- a/tests/test_rest_timer.py
+++ b/tests/test_rest_timer.py
@@ -51,7 +51,7 @@
     def wait(self, after: int) -> int:
         """Another attempt waits; how many connections were opened so far."""
         self.now += after
-        self.servers.rest_awaited(self.pool)
+        self.servers.note_reuse_wait(self.pool)
         return self.tasks
 
 
@@ -59,7 +59,7 @@
     waits = Waits()
     assert [waits.wait(0), waits.wait(SURPLUS_IDLE + 1), waits.wait(SURPLUS_IDLE)] == [0, 0, 1]
     assert waits.wait(1) == 1  # the one that is coming up
-    waits.pool.opening = None
+    waits.pool.spare_task = None
     assert waits.wait(1) == 2
 
 
@@ -90,14 +90,14 @@
             client = await node.client()
             assert (await client.ask(request()))[0] == 200
             [pool] = servers._pools.values()
-            pool.waited_at = node.host.now()  # an earlier one waited
+            pool.last_wait_at = node.host.now()  # an earlier one waited
             monkeypatch.setattr(servers, "connect", late)
             assert (await client.ask(request()))[0] == 200
-            opening = pool.opening
+            opening = pool.spare_task
             assert opening is not None and served.connections == 1
             coming.set()
             await asyncio.wait((opening,))
-            assert pool.opening is None and len(pool.idle) == 1 + up
+            assert pool.spare_task is None and len(pool.idle) == 1 + up
             pool.idle[0].rests_until = node.host.now() + HOUR
             if up:
                 assert (await client.ask(request()))[0] == 200
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -59,7 +59,7 @@
     """The formulas that stand beside the constants, with an answer that takes as long as they allow."""
     answer, drain, gap = 1.9, 0.5, MAX_GAP / SECOND
     assert discovery.MAX_HOLD * discovery.MIN_HOLD_SHARE >= 4
-    assert discovery.HOLD_GRACE + gap + answer <= discovery.SILENT_WATCH_DEADLINE + drain
+    assert discovery.HOLD_TIMEOUT_MARGIN + gap + answer <= discovery.SILENT_WATCH_DEADLINE + drain
     assert discovery.CONNECT_TIMEOUT + gap < discovery.SILENT_WATCH_DEADLINE
 
 
@@ -96,7 +96,7 @@
 
 def test_after_a_silence_a_refused_call_is_made_again_by_itself(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "MAX_HOLD", 0.05)
-    monkeypatch.setattr(discovery, "HOLD_GRACE", 0.05)
+    monkeypatch.setattr(discovery, "HOLD_TIMEOUT_MARGIN", 0.05)
 
     async def test() -> None:
         async def script(seen: Seen) -> bytes:
