--- a/sprucenotch/__main__.py
+++ b/sprucenotch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m sprucenotch`: one sidecar, as the platform starts it; with words after it, the command line."""
+"""`python -m sprucenotch`: runs the sidecar; with arguments, the command line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    if len(sys.argv) > 1:  # the sidecar itself is told all by its environment, and does without what follows
+    if len(sys.argv) > 1:  # the sidecar takes no arguments and does not need the command line
         from sprucenotch.cli.main import main as command_line
 
         return command_line()
--- a/sprucenotch/node/config.py
+++ b/sprucenotch/node/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start: PROXY_CONFIG, checked and turned into plain values."""
+"""The configuration of a sidecar: the file named by PROXY_CONFIG, validated and converted to plain values."""
 
 from __future__ import annotations
 
@@ -19,30 +19,29 @@
 Address: TypeAlias = tuple[str, int]
 
 SECOND = 1_000_000_000
-SOCKETS_UNTOLD = 1024  # descriptors where the file tells none: the most of a deployment's page on scored days
-MEMORY_LEAST = 32  # megabytes: the least that a deployment gives
-# What the program holds for itself: the standard streams (3), the loop (10) and its readiness of sockets
-# (1), the listeners and the peers' socket (3); calls to discovery: the watch, discovery.MAX_OVERDUE left
-# open, two that close (7); the state's lock and journal, and their replacement (5); and for a moment a file
-# that is read, and one more client and caller than the most, until the close of another takes effect (3).
-# That makes 32.
+DEFAULT_MAX_SOCKETS = 1024  # descriptors if the file sets no limit; the deployment allows this many
+MEMORY_LEAST = 32  # megabytes; every deployment provides at least this
+# Descriptors for the program's own use: standard streams (3), event loop (10) and its poller (1), listeners
+# and the peers' socket (3); calls to discovery: the watch, discovery.MAX_OVERDUE left open, two closing (7);
+# lock and journal of the state, and their replacement (5); temporarily a file being read, and one client and
+# one management connection above their limit until the close of another takes effect (3). In all 32.
 OWN_SOCKETS = 32
-BODIES_LEAST = 1_000_000  # below this nothing long passes at all
-# Keys of the settings that a deployment may leave out at any time.
-MAY_BE_ABSENT = frozenset(("AimStretch", "PassesDeadline", "WarmKeys"))
+MIN_BODY_BYTES = 1_000_000  # below this no long body could be passed on
+# Keys of the settings that may be absent from a file even if the previous one had them.
+OPTIONAL_KEYS = frozenset(("AimStretch", "PassesDeadline", "WarmKeys"))
 _HEALTHS = {"up": api.Health.READY, "draining": api.Health.DRAINING, "removed": api.Health.GONE}
 
 
 class ConfigError(Exception):
-    """The configuration is missing or makes no sense."""
+    """The configuration is missing or invalid."""
 
 
 class ConfigUnreadable(ConfigError):
-    """The file cannot be opened or read at the moment: it says nothing of what is in it."""
+    """The file temporarily cannot be opened or read; nothing is known about its contents."""
 
 
 class Host(Struct, frozen=True):
-    """An entry of a list of endpoints."""
+    """An entry of a host list."""
 
     endpoint: api.Endpoint
     dial: Address
@@ -50,23 +49,27 @@
 
 
 class HostList(Struct, frozen=True):
+    """A list of endpoints from discovery, or (`whole` false) the changes to one. `seq` is its version."""
+
     seq: int
     whole: bool
     hosts: tuple[Host, ...]
 
 
 class Names(Struct, frozen=True):
-    """Positions in the settings, by name."""
+    """Zones and kinds by name, as their positions in the settings."""
 
     zones: Mapping[str, int]
     kinds: Mapping[str, int]
 
 
 class Config(Struct, frozen=True):
+    """A validated configuration. Durations are in nanoseconds."""
+
     name: str
     listen: Address
     discovery: Address
-    mgmt: Address | None  # where operators call
+    mgmt: Address | None  # the management listener
     seed: int
     sockets: int
     memory: int  # bytes
@@ -75,35 +78,38 @@
     peers_all: Address | None
     settings: api.Settings
     names: Names
-    reports: bool  # endpoints tell their load
+    reports: bool  # whether endpoints report their load
     connect_timeout: int
-    idle_limit: int  # endpoints close connections that stood idle this long
+    idle_limit: int  # after which endpoints close idle connections
     known: HostList
     log: Log
-    clock: WrongClock | None  # for tests: none in service
-    disk: TestDisk | None  # the same
-    state: State | None  # what is kept for the next process
-    told: Mapping[str, Any]  # the file itself
+    clock: WrongClock | None  # for tests; None in production
+    disk: TestDisk | None  # for tests; None in production
+    state: State | None  # the state kept for the next process
+    told: Mapping[str, Any]  # the decoded file
 
     def check_complete(self, before: Config) -> None:
-        """Raise ConfigError where this file lacks a key that the one in force has: it is cut short, or its
-        writer slipped. What is left out would else be taken for its default."""
+        """Raise ConfigError if this file lacks a key that the configuration in force has.
+
+        Such a file is truncated or wrong; otherwise the missing key would silently get its default.
+        """
         missing = next((key for key in before.told if key not in self.told), None)
-        missing = missing or lacking(before.told["settings"], self.told["settings"], "settings.")
+        missing = missing or missing_key(before.told["settings"], self.told["settings"], "settings.")
         if missing is not None:
             raise ConfigError(f"{missing} is missing")
 
-    # How the descriptors are shared out. A successor lives beside this process for a time, within the same
-    # limit: the clients' third serves both of them, as clients hold no more, and each gets half of the rest.
+    # Descriptor budget. During a hand-over a successor runs beside this process within the same limit.
+    # Clients hold no more connections than before, so their third serves both processes; each gets half of
+    # the rest.
 
     @property
     def clients_most(self) -> int:
         return max(1, self.sockets // 3)
 
     def bodies_most(self, own: int) -> int:
-        """The memory for bodies, beside what the program itself holds, in half of the limit. A quarter is
-        left for what comes with them, such as the ledger and heads."""
-        return max(BODIES_LEAST, (self.memory // 2 - own) * 3 // 4)
+        """Bytes of memory for bodies: what the program itself (`own`) leaves of half the limit, less a
+        quarter reserved for data kept with them, such as the ledger and request heads."""
+        return max(MIN_BODY_BYTES, (self.memory // 2 - own) * 3 // 4)
 
     @property
     def callers_most(self) -> int:
@@ -116,8 +122,10 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the configuration that the environment names. Raises ConfigError with one plain line,
-    ConfigUnreadable where the next try may succeed."""
+    """Load the configuration named by the environment.
+
+    Raises ConfigError with a one-line message, ConfigUnreadable if a retry may succeed.
+    """
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
@@ -130,8 +138,10 @@
 
 
 def read(path: str) -> dict[str, Any]:
-    """A file in the platform's form; one named .toml is turned into it. Raises ConfigError, ConfigUnreadable
-    where the next try may succeed."""
+    """Read a file in the platform's JSON form, or convert a .toml file to it.
+
+    Raises ConfigError, ConfigUnreadable if a retry may succeed.
+    """
     try:
         with open(path, "rb") as file:
             raw = file.read()
@@ -139,7 +149,7 @@
         kind = ConfigUnreadable if problem.errno in FILE_PASSING else ConfigError
         raise kind(f"cannot be read: {problem.strerror}") from None
     if path.endswith(".toml"):
-        from sprucenotch.config import toml  # what is told in JSON does without it
+        from sprucenotch.config import toml  # not needed for JSON
 
         try:
             return toml.decode(raw)
@@ -155,91 +165,94 @@
 
 
 def stand_in(top: dict[str, Any], environ: Mapping[str, str]) -> None:
-    """The single variables stand in for what the file leaves out."""
+    """Set keys that the file leaves out from the PROXY_<KEY> variables."""
     for key in ("name", "listen", "discovery", "mgmt"):
-        if (told := environ.get(f"PROXY_{key.upper()}")) is not None:
-            top.setdefault(key, told)
+        if (value := environ.get(f"PROXY_{key.upper()}")) is not None:
+            top.setdefault(key, value)
 
 
 def parse(top: dict[str, Any]) -> Config:
-    """A file in the platform's form, decoded. Raises ConfigError that names all that is wrong in it."""
-    # Limits that make no sense are as good as none: the least holds. Peers may be none in any way.
+    """Convert a decoded file in the platform's form. Raises ConfigError that lists every problem found."""
+    # Invalid limits are treated as absent, so the minimum applies. Any empty value means no peers.
     limits = top.get("limits")
     read = top | {"limits": limits if isinstance(limits, dict) else {}}
     read |= {key: top.get(key) or None for key in ("peer_listen", "peers", "peers_all")}
     try:
-        told = settings.typed(read, settings.File, "")
+        file = settings.typed(read, settings.File, "")
         decisions = settings.read(top["settings"]).decisions()
-        connect_timeout = settings.judge(told.settings.limits, "connect_timeout_ns", settings.Time)
-        idle_limit = settings.judge(told.settings.limits, "conn_idle_ns", settings.Time)
-        names = Names(_positions(told.settings.azs), _positions(told.settings.kinds))
-        known = host_list(told.known or {"seq": 0, "whole": True, "hosts": []}, names)
+        connect_timeout = settings.judge(file.settings.limits, "connect_timeout_ns", settings.Time)
+        idle_limit = settings.judge(file.settings.limits, "conn_idle_ns", settings.Time)
+        names = Names(_positions(file.settings.azs), _positions(file.settings.kinds))
+        known = host_list(file.known or {"seq": 0, "whole": True, "hosts": []}, names)
     except settings.SettingsError as problem:
         raise ConfigError(str(problem)) from None
     except ValueError as problem:
         raise ConfigError(f"known: {problem}") from None
-    if told.state is not None and importlib.util.find_spec("xxhash") is None:
+    if file.state is not None and importlib.util.find_spec("xxhash") is None:
         raise ConfigError("state needs the package xxhash, which requirements-cli.txt names")
     class_names = [c.name for c in decisions.classes]
     if "" in class_names or len(set(class_names)) < len(class_names):
-        raise ConfigError(f"settings: the class names are {class_names}, each has to be there once")
+        raise ConfigError(f"settings: class names must be unique and not empty, got {class_names}")
     return Config(
-        name=str(told.name or ""),
-        listen=address(told.listen),
-        discovery=address(told.discovery),
-        mgmt=address(told.mgmt) if told.mgmt is not None else None,
-        seed=_seed(told.seed),
-        sockets=_sockets(told.limits.sockets),
-        memory=(_amount(told.limits.memory_mb) or MEMORY_LEAST) * 1_000_000,
-        peer_listen=address(told.peer_listen) if told.peer_listen else None,
-        peers=tuple(map(address, told.peers or ())),
-        peers_all=address(told.peers_all) if told.peers_all else None,
+        name=str(file.name or ""),
+        listen=address(file.listen),
+        discovery=address(file.discovery),
+        mgmt=address(file.mgmt) if file.mgmt is not None else None,
+        seed=_parse_seed(file.seed),
+        sockets=_max_sockets(file.limits.sockets),
+        memory=(_positive_int(file.limits.memory_mb) or MEMORY_LEAST) * 1_000_000,
+        peer_listen=address(file.peer_listen) if file.peer_listen else None,
+        peers=tuple(map(address, file.peers or ())),
+        peers_all=address(file.peers_all) if file.peers_all else None,
         settings=decisions,
         names=names,
         reports=bool(decisions.report_fields),
         connect_timeout=connect_timeout,
         idle_limit=idle_limit,
         known=known,
-        log=told.log,
-        clock=told.clock,
-        disk=told.disk,
-        state=told.state,
+        log=file.log,
+        clock=file.clock,
+        disk=file.disk,
+        state=file.state,
         told=top,
     )
 
 
-def lacking(before: Any, now: Any, path: str) -> str | None:
-    """The first key that was there and is not; in a list of objects, each has those of the first before."""
+def missing_key(before: Any, now: Any, path: str) -> str | None:
+    """Return the path of the first key of `before` that `now` lacks, or None.
+
+    Each object in a list must have the keys of the first object of the list before.
+    """
     if isinstance(before, dict) and isinstance(now, dict):
         for key, value in before.items():
-            if key in MAY_BE_ABSENT:
+            if key in OPTIONAL_KEYS:
                 continue
             if key not in now:
                 return f"{path}{key}"
-            if (missing := lacking(value, now[key], f"{path}{key}.")) is not None:
+            if (missing := missing_key(value, now[key], f"{path}{key}.")) is not None:
                 return missing
     if isinstance(before, list) and before and isinstance(now, list):
-        missed = (lacking(before[0], entry, f"{path[:-1]}[{i}].") for i, entry in enumerate(now))
+        missed = (missing_key(before[0], entry, f"{path[:-1]}[{i}].") for i, entry in enumerate(now))
         return next((missing for missing in missed if missing is not None), None)
     return None
 
 
 def host_list(raw: Any, names: Names) -> HostList:
-    """A list in discovery's form. Raises ValueError where it is malformed."""
+    """Convert a decoded host list from discovery. Raises ValueError if it is malformed."""
     if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
         raise ValueError("not a list of hosts")
     seq = raw.get("seq")
     if isinstance(seq, bool) or not isinstance(seq, int):
         raise ValueError(f"seq is {seq!r}")
-    return HostList(seq, raw.get("whole") is True, tuple(_host(entry, names) for entry in raw["hosts"]))
+    return HostList(seq, raw.get("whole") is True, tuple(_parse_host(entry, names) for entry in raw["hosts"]))
 
 
-def _host(entry: Any, names: Names) -> Host:
+def _parse_host(entry: Any, names: Names) -> Host:
     if not isinstance(entry, dict):
         raise ValueError("an entry is not an object")
     host, health = entry.get("host"), entry.get("health", "up")
     if not isinstance(host, str) or not isinstance(health, str) or health not in _HEALTHS:
-        raise ValueError(f"an entry makes no sense: host {host!r}, health {health!r}")
+        raise ValueError(f"invalid entry: host {host!r}, health {health!r}")
     try:
         endpoint = api.Endpoint(
             id=endpoint_id(host),
@@ -256,13 +269,14 @@
 
 
 def _finite(value: Any) -> float:
-    if not math.isfinite(number := float(value)):  # JSON as Python reads it knows NaN and Infinity
-        raise ValueError(f"{value} is no share")
+    if not math.isfinite(number := float(value)):  # Python's JSON decoders accept NaN and Infinity
+        raise ValueError(f"share must be finite, got {value}")
     return number
 
 
 def endpoint_id(host: str) -> api.EndpointId:
-    # The decisions hash an id's first 64 bits: a name of more bytes would lose its last, telling ones.
+    # The balancer hashes the first 64 bits of an id, so a longer name would lose its distinguishing last
+    # bytes.
     return blake2b(host.encode(), digest_size=8).digest()
 
 
@@ -271,27 +285,27 @@
 
 
 def address(text: str) -> Address:
-    """An address that was found to be one."""
+    """Split an already validated address into host and port."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
-def _seed(text: str | int | float) -> int:
+def _parse_seed(text: str | int | float) -> int:
     try:
         return int(text, 16) if isinstance(text, str) else int(text)
     except ValueError:
-        raise ConfigError(f"seed is {text!r}, where hexadecimal digits are allowed") from None
+        raise ConfigError(f"seed must be hexadecimal digits, got {text!r}") from None
 
 
-def _amount(told: Any) -> int | None:
-    return told if isinstance(told, int) and told > 0 else None
+def _positive_int(value: Any) -> int | None:
+    return value if isinstance(value, int) and value > 0 else None
 
 
-def _sockets(told: Any) -> int:
-    """What the deployment allows, within what the kernel grants: no more, so that a list of clients or
-    servers is bounded by these two alone."""
-    most = _amount(told) or SOCKETS_UNTOLD
+def _max_sockets(configured: Any) -> int:
+    """The descriptor limit: the configured one, capped by that of the kernel. It bounds the number of client
+    and server connections."""
+    limit = _positive_int(configured) or DEFAULT_MAX_SOCKETS
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY:
-        most = min(most, soft)
-    return most
+        limit = min(limit, soft)
+    return limit
--- a/sprucenotch/node/discovery.py
+++ b/sprucenotch/node/discovery.py
@@ -59,8 +59,7 @@
 
 
 class Discovery:
-    """Calls the discovery service when the balancer requests it or, in the pushed mode, the agent
-    continuously."""
+    """Calls the discovery service on request of the balancer, or the agent all the time in pushed mode."""
 
     def __init__(self, config: Config, host: Host, loop: asyncio.AbstractEventLoop) -> None:
         self._host, self._loop = host, loop
@@ -83,8 +82,7 @@
 
     @property
     def age(self) -> int | None:
-        """Nanoseconds since the current list was last known to be the newest; None if this process never
-        knew."""
+        """Nanoseconds since the current list was last known to be the newest; None: not in this process."""
         if self._watch_continues:  # a change would have ended the watch
             return 0
         return None if self._last_answer_at is None else self._host.now() - self._last_answer_at
@@ -108,8 +106,7 @@
             self._watcher.add_done_callback(self._on_watch_done)
 
     def move(self, address: Address) -> None:
-        """Continue at another address. The old one closes its connections soon and may not answer until
-        then."""
+        """Continue at another address. The old one soon closes its connections and may not answer."""
         if address == self._address:
             return
         event(log, logging.INFO, "discovery moved", host=address[0], port=address[1])
@@ -150,8 +147,7 @@
                 await asyncio.sleep(UNCHANGED_LIST_PAUSE)
 
     def _on_watch_done(self, watcher: asyncio.Task[None]) -> None:
-        """Treat a watch that ended with an unexpected exception as failed, or no further call would be
-        made."""
+        """Treat a watch that ended with an unexpected exception as failed, so that calls continue."""
         if watcher.cancelled() or (fault := watcher.exception()) is None:
             return
         log.error("fault", exc_info=fault, extra={"fields": {"handling": "watch"}})
@@ -185,8 +181,7 @@
         return f"?from={self._seq}&hold_ms={hold * 1000:.0f}"
 
     async def _call_or_leave_open(self, query: str, response_timeout: float, timeout: float) -> HostList:
-        """Make a call; if it is not answered within `response_timeout`, leave it open and raise
-        CallTimedOut."""
+        """Make a call. If not answered within `response_timeout`, leave it open and raise CallTimedOut."""
         call = self._loop.create_task(self._call(query, timeout))
         try:
             done, _ = await asyncio.wait((call,), timeout=response_timeout)
@@ -283,8 +278,7 @@
         return answer
 
     def _compare_clocks(self, answer: Answer | None) -> None:
-        """Report by how much this machine's clock differs from that of discovery, which dates server
-        starts."""
+        """Report the difference of this machine's clock to that of discovery, which dates server starts."""
         server_time = http_date(answer.header(b"date") or b"") if answer is not None else None
         if server_time is not None:
             self._host.post(api.ClockSkew(self._host.now() - server_time))
--- a/sprucenotch/node/peers.py
+++ b/sprucenotch/node/peers.py
@@ -1,4 +1,4 @@
-"""Messages between sidecars: UDP datagrams, which may come late or not at all."""
+"""Messages between sidecars: UDP datagrams, which may be delayed or lost."""
 
 from __future__ import annotations
 
@@ -17,36 +17,39 @@
 from sprucenotch.node.poller import Watch, running_poller
 from sprucenotch.seams.system_errors import retried
 
-MESSAGE_MOST = 256
-MESSAGES_AT_ONCE = 16  # taken before connections have their turn
-# Seconds between two looks whether the process before, which is told to stop once this one serves, has let go
-# of the address.
+MAX_MESSAGE_BYTES = 256
+MAX_MESSAGES_PER_TURN = 16  # received in one iteration of the event loop, before other events are handled
+# Seconds between attempts to bind the address while the previous process still holds it; that one is stopped
+# once this process serves.
 ADDRESS_CHECK_INTERVAL = 0.1
 
 log = logging.getLogger(__name__)
 
 
 class Peers:
-    """The socket of one sidecar for the messages of the others."""
+    """The socket for messages from and to the other sidecars."""
 
     def __init__(self, config: Config, host: Host) -> None:
-        self._peers, self._all = config.peers, config.peers_all
-        self._numbers = {address: number for number, address in enumerate(config.peers)}
+        self._peers, self._broadcast_address = config.peers, config.peers_all
+        self._peer_numbers = {address: number for number, address in enumerate(config.peers)}
         self._host = host
         self._socket: socket.socket | None = None
         self._watch: Watch | None = None
-        self._waiting: asyncio.Task[None] | None = None  # for the address
+        self._bind_task: asyncio.Task[None] | None = None  # waits for the address
 
     async def listen(self, address: Address) -> None:
-        """Bind the address; where the process before still holds it, as soon as it is free. Messages may be
-        lost, so nothing waits for that. Raises OSError where the address cannot be had at all."""
+        """Bind the address, in the background if the previous process still holds it.
+
+        Messages may be lost anyway, so the start does not wait. Raises OSError if the address cannot be bound
+        for another reason.
+        """
         try:
             await retried(lambda: self._bind(address), BIND_TIMEOUT)
         except OSError as problem:
             if problem.errno != errno.EADDRINUSE:
                 raise
             event(log, logging.INFO, "peers' address is taken, waited for", port=address[1])
-            self._waiting = asyncio.get_running_loop().create_task(self._bind_once_free(address))
+            self._bind_task = asyncio.get_running_loop().create_task(self._bind_once_free(address))
 
     async def _bind(self, address: Address) -> None:
         self._socket = bind_now(address, kind=socket.SOCK_DGRAM)
@@ -64,9 +67,9 @@
                 continue
 
     def close(self) -> None:
-        """Let go of the address: it is the successor's."""
-        if self._waiting is not None:
-            self._waiting.cancel()
+        """Release the address for the successor."""
+        if self._bind_task is not None:
+            self._bind_task.cancel()
         if self._watch is not None:
             self._watch.end()
         if self._socket is not None:
@@ -74,26 +77,28 @@
             self._socket = None
 
     def tell(self, peer: int, body: bytes) -> None:
-        """Send a message to a sidecar by its number, or to all of them (-1). What cannot be sent is lost."""
-        address = self._all if peer < 0 else self._peers[peer] if peer < len(self._peers) else None
-        if self._socket is not None and address is not None and len(body) <= MESSAGE_MOST:
+        """Send a message to a sidecar by its number, or to all (-1). Dropped if it cannot be sent."""
+        address = (
+            self._broadcast_address if peer < 0 else self._peers[peer] if peer < len(self._peers) else None
+        )
+        if self._socket is not None and address is not None and len(body) <= MAX_MESSAGE_BYTES:
             with contextlib.suppress(OSError):
                 self._socket.sendto(body, address)
 
     def _receive(self, events: int) -> None:
-        """Take the messages that are there. What fails is a peer that is down, or passes: nothing is due."""
-        for _ in range(MESSAGES_AT_ONCE):
+        """Receive the waiting messages. Errors are ignored: temporary, or of a peer that is down."""
+        for _ in range(MAX_MESSAGES_PER_TURN):
             if self._socket is None:
                 return
             try:
-                data, sender = self._socket.recvfrom(MESSAGE_MOST + 1)
+                data, sender = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
                 continue
-            self._take(data, sender)
+            self._deliver(data, sender)
 
-    def _take(self, data: bytes, addr: tuple[str, int]) -> None:
-        number = self._numbers.get((addr[0], addr[1]))
-        if number is not None and len(data) <= MESSAGE_MOST:  # else it is no peer's
+    def _deliver(self, data: bytes, addr: tuple[str, int]) -> None:
+        number = self._peer_numbers.get((addr[0], addr[1]))
+        if number is not None and len(data) <= MAX_MESSAGE_BYTES:  # otherwise it is not from a peer
             self._host.post(api.PeerMessage(number, data))
--- a/sprucenotch/node/reload.py
+++ b/sprucenotch/node/reload.py
@@ -1,4 +1,4 @@
-"""A new configuration in a running process, at SIGHUP: all of it is taken or nothing."""
+"""Reloading the configuration at SIGHUP: the whole file is applied, or none of it."""
 
 from __future__ import annotations
 
@@ -11,19 +11,18 @@
 from sprucenotch.node.discovery import Discovery
 from sprucenotch.node.frontend import Frontend
 from sprucenotch.node.host import Host
-from sprucenotch.node.log import apply as logging_as
-from sprucenotch.node.log import event
+from sprucenotch.node.log import configure_logging, event
 from sprucenotch.seams.system_errors import pauses
 
-# Seconds for which a file that cannot be read for the moment is tried again: what a new configuration moves
-# counts as told 4 s after the signal.
+# Seconds for which reading an unreadable file is retried. A new configuration must be in force 4 s after the
+# signal.
 LOAD_TIMEOUT = 2.0
 
 log = logging.getLogger(__name__)
 
 
 class Reload:
-    """Takes up the replaced configuration file: settings, the log, and where discovery is."""
+    """Applies a replaced configuration file: settings, logging and the address of discovery."""
 
     def __init__(self, config: Config, host: Host, frontend: Frontend, discovery: Discovery) -> None:
         self.config = config  # in force
@@ -32,7 +31,7 @@
         self._retry: asyncio.TimerHandle | None = None
 
     def begin(self) -> None:
-        """Read the file now. A later signal takes the place of the tries for an earlier one."""
+        """Read the file now. Replaces the retries that are pending for an earlier signal."""
         event(log, logging.INFO, "reloading")
         if self._retry is not None:
             self._retry.cancel()
@@ -46,23 +45,23 @@
         except ConfigUnreadable as problem:
             delay = next(pause)
             if self._loop.time() + delay > give_up_at:
-                self._turn_down(problem)
+                self._reject(problem)
                 return
             event(log, logging.WARNING, "configuration not readable, tried again", why=str(problem))
             self._retry = self._loop.call_later(delay, self._try, pause, give_up_at)
         except ConfigError as problem:
-            self._turn_down(problem)
+            self._reject(problem)
         else:
-            self._take(fresh)
+            self._apply(fresh)
 
-    def _turn_down(self, problem: ConfigError) -> None:
+    def _reject(self, problem: ConfigError) -> None:
         self._host.telemetry.load_errors += 1
         event(log, logging.WARNING, "configuration turned down", why=str(problem))
 
-    def _take(self, fresh: Config) -> None:
+    def _apply(self, fresh: Config) -> None:
         self._host.telemetry.loads += 1
         self.config = fresh
-        logging_as(fresh.log)
+        configure_logging(fresh.log)
         self._frontend.retune(fresh)
         self._host.retune(fresh)
         self._discovery.retune(fresh)
--- a/sprucenotch/node/serve.py
+++ b/sprucenotch/node/serve.py
@@ -1,4 +1,4 @@
-"""One real sidecar: start, signals, exit."""
+"""The sidecar process: start, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -23,8 +23,7 @@
 from sprucenotch.node.frontend import ClientConnection, Frontend
 from sprucenotch.node.host import Host
 from sprucenotch.node.listener import bound, listening, steer_to_successor
-from sprucenotch.node.log import apply as logging_as
-from sprucenotch.node.log import event, toggle
+from sprucenotch.node.log import configure_logging, event, toggle_debug
 from sprucenotch.node.management import Management
 from sprucenotch.node.peers import Peers
 from sprucenotch.node.poller import running_poller
@@ -32,30 +31,30 @@
 from sprucenotch.seams import clock
 from sprucenotch.seams.system_errors import is_exhaustion, pauses
 
-ACCEPT_ON = 0.6  # after SIGTERM new connections come for 0.2 to 0.4 s more
+ACCEPT_AFTER_STOP = 0.6  # seconds; after SIGTERM new connections still arrive for 0.2 to 0.4 s
 
 log = logging.getLogger(__name__)
-early_signal = threading.Event()  # SIGHUP came before the program could act on it
+early_signal = threading.Event()  # set by a SIGHUP that arrives before its handler is installed
 
 
 async def serve(config: Config) -> None:
-    """Serve until SIGTERM or SIGINT; then finish what was taken."""
+    """Serve until SIGTERM or SIGINT, then complete the accepted requests."""
     loop = asyncio.get_running_loop()
-    running_poller()  # before there is anything to watch: the event loop's own part, which must not fail
+    running_poller()  # must not fail, so it is set up before there is any socket to watch
     event(log, logging.INFO, "starting", name=config.name, servers=len(config.known.hosts))
-    amiss = config.clock
-    time = clock.wrong(amiss.offset_ns, amiss.drift_ppm) if amiss else clock.Clock()
+    wrong_clock = config.clock
+    time = clock.wrong(wrong_clock.offset_ns, wrong_clock.drift_ppm) if wrong_clock else clock.Clock()
     host = Host(config, loop, time)
     frontend = Frontend(config, host, loop)
     host.upstream.make_room = frontend.make_room
     recovery = None
-    if config.state is not None:  # else nothing of it is loaded
+    if config.state is not None:  # otherwise the package is not imported
         from sprucenotch.recovery.service import Recovery
 
         recovery = Recovery(config, config.state, time, loop)
-    told_to_stop = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        on_signal(loop, number, told_to_stop.set)
+        on_signal(loop, number, stop_requested.set)
     peers = Peers(config, host) if config.settings.peers else None
     if peers is not None and config.peer_listen is not None:
         await peers.listen(config.peer_listen)
@@ -63,32 +62,32 @@
         management = Management(
             lambda: host.standing.ready() if frontend.ready else "",
             host.standing.figures,
-            lambda: rendered(host),
+            lambda: render_metrics(host),
             config.callers_most,
         )
         if recovery is not None:
-            management.offer(recovery.path, recovery.offer)
+            management.add_call(recovery.path, recovery.handover_record)
         management.serve(await listening(await bound(config.mgmt)), host.count)
-    recalled = None if recovery is None else await recovery.recall()
-    if recalled is not None and recalled.hosts is not None:
-        config = structs.replace(config, known=recalled.hosts)
-        host.handed = recalled.verified
+    recovered = None if recovery is None else await recovery.recall()
+    if recovered is not None and recovered.hosts is not None:
+        config = structs.replace(config, known=recovered.hosts)
+        host.handed = recovered.verified
     if recovery is not None:
         recovery.keep(host, lambda: discovery.age)
     host.start(config.known)
-    if recalled is not None and recalled.learned is not None:
-        host.recall(recalled.learned, recalled.learned_age)
+    if recovered is not None and recovered.learned is not None:
+        host.recall(recovered.learned, recovered.learned_age)
     discovery = Discovery(config, host, loop)
     host.standing.list_age = lambda: discovery.age
     discovery.start()
     reload = Reload(config, host, frontend, discovery)
     on_signal(loop, signal.SIGHUP, reload.begin)
-    on_signal(loop, signal.SIGUSR1, lambda: toggle(reload.config.log.level))
-    if early_signal.is_set():  # the file may have changed since it was read for the start
+    on_signal(loop, signal.SIGUSR1, lambda: toggle_debug(reload.config.log.level))
+    if early_signal.is_set():  # the file may have changed since it was read
         reload.begin()
     listener = await bound(config.listen, shared=True)
-    await first_of(told_to_stop.wait(), host.until_informed())
-    if told_to_stop.is_set():
+    await first_of(stop_requested.wait(), host.until_informed())
+    if stop_requested.is_set():
         listener.close()
         return
 
@@ -97,31 +96,32 @@
     acceptor = Acceptor(listener, partial(ClientConnection, frontend), frontend.make_room, host.count)
     frontend.listening = True
     event(log, logging.INFO, "ready")
-    await told_to_stop.wait()
-    # Answers close their connections from here on, so that clients leave as they are served.
+    await stop_requested.wait()
+    # From here on, answers close their connections.
     frontend.draining = True
     host.drain()
     if peers is not None:
         peers.close()
     steer_to_successor(listener)
-    # What crosses these closes comes again on a new connection, which is still taken, here or by a successor.
+    # A client whose request crosses a close repeats it on a new connection, accepted here or by the
+    # successor.
     frontend.close_idle()
     event(log, logging.INFO, "draining", in_progress=host.telemetry.in_progress)
-    await asyncio.sleep(ACCEPT_ON)
+    await asyncio.sleep(ACCEPT_AFTER_STOP)
     await acceptor.close()
     frontend.close_idle()
-    # No time limit here, as it would cut off long answers under way. Peers that neither send, nor read, nor
-    # answer are given up by the rules for them, so this ends.
+    # No time limit here, as it would cut off long answers in progress. Connections whose peer neither sends
+    # nor reads have timeouts of their own, so this ends.
     await frontend.finished()
     if recovery is not None:
         recovery.close()
     event(log, logging.INFO, "drained")
 
 
-async def serve_to_the_end(config: Config) -> None:
-    """Serve, then end the tasks that go on by themselves. All in one run of the loop: each start of it
-    registers descriptors with the kernel, which may fail, and there is nothing left to lose by then."""
-    asyncio.get_running_loop().set_exception_handler(tell_failure)
+async def serve_and_clean_up(config: Config) -> None:
+    """Serve, then cancel the remaining tasks, all in one run of the event loop: each start of a loop
+    registers descriptors with the kernel, which may fail."""
+    asyncio.get_running_loop().set_exception_handler(log_loop_failure)
     try:
         await serve(config)
     finally:
@@ -131,9 +131,9 @@
         await asyncio.gather(*others, return_exceptions=True)
 
 
-def tell_failure(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log what the event loop could not do. A signal's wake-up that cannot be read for want of memory is
-    read in the next turn; whatever else is a fault."""
+def log_loop_failure(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Log an error of the event loop. A failure for lack of resources, such as memory to read a signal's
+    wake-up, is retried by the loop in its next iteration; anything else is a fault."""
     problem = context.get("exception")
     if problem is not None and is_exhaustion(problem):
         event(log, logging.WARNING, "event loop, tried again", what=context["message"], why=str(problem))
@@ -142,41 +142,45 @@
 
 
 def on_signal(loop: asyncio.AbstractEventLoop, number: signal.Signals, act: Callable[[], object]) -> None:
-    """Have the loop act on a signal. The loop's own handlers are told of it by a write to a socket alone, and
-    one that fails loses the signal; the interpreter's handler runs with the next turn all the same, which the
-    status timer brings within STATUS_EVERY."""
+    """Call `act` in the event loop when a signal arrives.
+
+    The loop's own signal handlers depend on a write to a socket, and a failed write loses the signal. The
+    interpreter's handler always runs with the next iteration of the loop, which the status timer causes
+    within STATUS_EVERY.
+    """
     signal.signal(number, lambda *_: loop.call_soon_threadsafe(act))
 
 
 async def first_of(*waits: Coroutine[Any, Any, object]) -> None:
-    """Return once one of these is over; the others are cancelled."""
+    """Wait until one of the coroutines completes, then cancel the others."""
     tasks = [asyncio.ensure_future(wait) for wait in waits]
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
         task.cancel()
 
 
-def rendered(host: Host) -> bytes:
-    """The metrics. Where nobody gathers them, nothing is loaded for it."""
+def render_metrics(host: Host) -> bytes:
+    """Render the metrics. The module is imported on first use, as not every deployment collects them."""
     from sprucenotch.node import metrics
 
     return metrics.render(host.standing, host.budget)
 
 
 def main() -> int:
-    # Its default action would end the process. What comes before the program has its handler is not lost.
+    # The default action of SIGHUP would end the process. An early one is remembered and handled after the
+    # start.
     signal.signal(signal.SIGHUP, lambda number, frame: early_signal.set())
     try:
         config = load_at_start()
     except ConfigError as problem:
         print(f"sprucenotch: {problem}", file=sys.stderr)
         return 2
-    logging_as(config.log)
-    gc.freeze()  # what is loaded by now stays: the collector need not go over it again
+    configure_logging(config.log)
+    gc.freeze()  # modules stay loaded, so the garbage collector need not scan them
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     try:
-        loop.run_until_complete(serve_to_the_end(config))
+        loop.run_until_complete(serve_and_clean_up(config))
     except OSError as problem:
         print(f"sprucenotch: {problem}", file=sys.stderr)
         return 3
@@ -184,7 +188,7 @@
 
 
 def load_at_start() -> Config:
-    """The configuration; one that cannot be read for the moment is tried again. Raises ConfigError."""
+    """Load the configuration, retrying an unreadable file until LOAD_TIMEOUT. Raises ConfigError."""
     give_up_at = monotonic() + LOAD_TIMEOUT
     for pause in pauses():
         try:
--- a/sprucenotch/node/standing.py
+++ b/sprucenotch/node/standing.py
@@ -1,4 +1,4 @@
-"""How things stand, for staff: the operators' figures, the status event, the gauges, from one place."""
+"""State of the sidecar for operators: the source of telemetry call, status event and gauges."""
 
 from __future__ import annotations
 
@@ -20,13 +20,15 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-SILENT = 30 * SECOND  # longer than any watch waits: discovery is down, or out of reach
-STATUS_EVERY = 1.0  # seconds between two status events: cuts and queues turn within a few
+DISCOVERY_SILENCE = 30 * SECOND  # longer than any watch holds: discovery is down or unreachable
+STATUS_EVERY = 1.0  # seconds between status events; admission cuts and queues change within a few seconds
 
 
 def own_memory() -> tuple[int, int]:
-    """What this process holds, in bytes: all that is resident, and what it shares with no other. Where the
-    kernel's file cannot be opened for the moment, both are the most that it has held so far."""
+    """Return the resident and the unshared memory of this process, in bytes.
+
+    If the kernel's file temporarily cannot be opened, both are the peak resident memory.
+    """
     try:
         with open("/proc/self/statm", "rb") as file:
             _, resident, shared, *_ = map(int, file.read().split())
@@ -37,7 +39,7 @@
 
 
 def open_descriptors() -> int | None:
-    """How many descriptors this process holds; None where that cannot be told for the moment."""
+    """Return the number of open descriptors of this process; None if it temporarily cannot be read."""
     try:
         return len(os.listdir("/proc/self/fd"))
     except OSError:
@@ -45,37 +47,39 @@
 
 
 class Standing:
+    """Reports the current state of the balancer, the connections and the process."""
+
     def __init__(
         self, balancer: Balancer, telemetry: Telemetry, upstream: Upstream, now: Callable[[], int]
     ) -> None:
         self._balancer, self.telemetry, self.upstream, self._now = balancer, telemetry, upstream, now
         self.list_age: Callable[[], int | None] = lambda: (
             None
-        )  # since discovery confirmed the list; never: None
-        self.lag = 0.0  # seconds by which the loop was late at the last status
+        )  # nanoseconds since discovery confirmed the list; None: never
+        self.lag = 0.0  # seconds by which the last status timer was late
 
     def figures(self) -> dict[str, Any]:
-        """What the operators' days ask for, under the names given there."""
+        """The figures of the telemetry call, under the names that operators use."""
         known, skipped = self.engines()
         return self.telemetry.figures(known, skipped)
 
     def engines(self) -> tuple[int, int]:
-        """How many are listed, and how many of these get nothing now."""
+        """Return how many engines are listed, and how many of these currently get no requests."""
         members = [m for m in self._balancer.engines.members.values() if m.health != api.Health.GONE]
-        return len(members), sum(map(self._avoided, members))
+        return len(members), sum(map(self._is_skipped, members))
 
-    def _avoided(self, member: Member) -> bool:
-        """Whether an engine that is listed gets nothing now: it drains, or is ejected and not kept for want
-        of others."""
+    def _is_skipped(self, member: Member) -> bool:
+        """Whether a listed engine currently gets no requests: it is draining, or it is ejected and not in use
+        for lack of others."""
         if member.health != api.Health.READY:
             return True
         used = self._balancer.engines.subset
         return member.out_until > self._now() and not any(member in side for side in used)
 
     def ready(self) -> str:
-        """How a process that serves says so: with an old list too, but not in silence."""
+        """The readiness message. A process with an outdated list is still ready, and says so."""
         age = self.list_age()
-        silent = age is not None and age > SILENT
+        silent = age is not None and age > DISCOVERY_SILENCE
         return f"ready, discovery has said nothing for {age // SECOND} s" if age and silent else "ready"
 
     def is_cold(self, endpoint: api.EndpointId) -> bool:
@@ -83,7 +87,7 @@
         return member is not None and self._balancer.engines.warmth(member, self._now()) < 1
 
     def decisions(self) -> dict[str, float]:
-        """How the decisions stand: the cut and what moves it, the engines by state, the retry budget."""
+        """State of the balancer: admission cut and its inputs, engines by state, retry budget."""
         b = self._balancer
         ready, used = (sum(map(len, sides)) for sides in (b.engines.order, b.engines.subset))
         cold = sum(self.is_cold(member.id) for side in b.engines.order for member in side)
@@ -95,7 +99,7 @@
         }  # fmt: skip
 
     def process(self) -> dict[str, float]:
-        """What this process holds of its machine."""
+        """The resources that this process uses."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         return {
             "cpu_seconds": used.ru_utime + used.ru_stime, "memory_bytes": own_memory()[0],
@@ -104,7 +108,7 @@
         }  # fmt: skip
 
     def status(self, lag: float) -> None:
-        """One event for on-call: what came and went since the last, and how things stand. Silent in rest."""
+        """Log the status event if any counter increased: the increases and the current state."""
         self.lag = lag
         if grown := self.telemetry.growth():
             b = self._balancer
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -155,8 +155,7 @@
         return self._open
 
     def ensure_capacity(self) -> bool:
-        """Whether one more connection may be opened. At the limit, closes the longest idle connection
-        first."""
+        """Whether one more connection may be opened; at the limit, closes the longest idle one first."""
         if self._open < self._max_connections:
             return True
         pools = [pool for pool in self._pools.values() if pool.idle]
@@ -266,8 +265,7 @@
 
 
 def parse_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """Parse `TEXT name=value, ...` into values in the order of `fields`; () if any is missing or
-    malformed."""
+    """Parse `TEXT name=value, ...` into values in the order of `fields`; () if incomplete or malformed."""
     values: dict[str, float] = {}
     try:
         for part in text.decode("ascii").strip().removeprefix("TEXT").split(","):
--- a/sprucenotch/recovery/service.py
+++ b/sprucenotch/recovery/service.py
@@ -143,7 +143,7 @@
 
     path = predecessor.PATH.encode()
 
-    def offer(self) -> bytes:
+    def handover_record(self) -> bytes:
         """What a call for the handover gets."""
         return msgspec.msgpack.encode(self._kept(with_list=True))
 
--- a/tests/test_failing_files.py
+++ b/tests/test_failing_files.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sprucenotch.node import standing
-from sprucenotch.node.log import Lines
+from sprucenotch.node.log import LogHandler
 from sprucenotch.seams import clock
 from tests.sidecar import always_ok, dead_dial, endpoint, request, run, sidecar
 from tests.test_management import managed
@@ -91,12 +91,12 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """The standard handler prints a trace for each, on the same full disk."""
-    monkeypatch.setattr(Lines, "lost", 0)
+    monkeypatch.setattr(LogHandler, "lost", 0)
     stream = io.StringIO()
     stream.close()
-    lines = Lines(stream)
+    lines = LogHandler(stream)
     lines.handle(logging.makeLogRecord({"msg": "full"}))
-    assert Lines.lost == 1 and capsys.readouterr().err == ""
+    assert LogHandler.lost == 1 and capsys.readouterr().err == ""
 
 
 class FailingPoll:
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -89,7 +89,7 @@
         log.event(logging.getLogger("sprucenotch.node.x"), logging.INFO, "moved", to="a b", name=0.123456)
     told = json.loads(told_by(log.JsonLines(), caplog))
     assert (told["event"], told["part"], told["level"], told["to"]) == ("moved", "x", "info", "a b")
-    assert told_by(log.Readable(), caplog)[9:] == 'info    moved to="a b" name=0.123'
+    assert told_by(log.TextLines(), caplog)[9:] == 'info    moved to="a b" name=0.123'
 
 
 def test_a_fault_keeps_its_trace_within_its_line(caplog: pytest.LogCaptureFixture) -> None:
@@ -106,10 +106,10 @@
 def test_the_level_goes_up_and_back_to_that_of_the_configuration() -> None:
     before = logging.getLogger("sprucenotch").level
     try:
-        log.apply(settings.Log(level="warning"))
-        log.toggle("warning")
+        log.configure_logging(settings.Log(level="warning"))
+        log.toggle_debug("warning")
         assert log.level() == "debug"
-        log.toggle("warning")
+        log.toggle_debug("warning")
         assert log.level() == "warning"
     finally:
         log.ROOT.setLevel(before)
