--- a/sprucenotch/node/serve.py
+++ b/sprucenotch/node/serve.py
@@ -68,12 +68,12 @@
         if recovery is not None:
             management.add_call(recovery.path, recovery.handover_record)
         management.serve(await listening(await bound(config.mgmt)), host.count)
-    recovered = None if recovery is None else await recovery.recall()
+    recovered = None if recovery is None else await recovery.recover()
     if recovered is not None and recovered.hosts is not None:
         config = structs.replace(config, known=recovered.hosts)
         host.handed = recovered.verified
     if recovery is not None:
-        recovery.keep(host, lambda: discovery.age)
+        recovery.start_recording(host, lambda: discovery.age)
     host.start(config.known)
     if recovered is not None and recovered.learned is not None:
         host.recall(recovered.learned, recovered.learned_age)
--- a/sprucenotch/recovery/__init__.py
+++ b/sprucenotch/recovery/__init__.py
@@ -1,4 +1,4 @@
-"""What a sidecar hands to the process that follows it: its list and what it learned, each with an age.
+"""Hand-over of a sidecar's state to its successor: the host list and what was learned, each with its age.
 
-Guarantees, design and figures: `docs/recovery.md`. Nothing here is imported where no `state` is configured.
+Guarantees, design and measurements: `docs/recovery.md`. Not imported unless `state` is configured.
 """
--- a/sprucenotch/recovery/predecessor.py
+++ b/sprucenotch/recovery/predecessor.py
@@ -1,7 +1,8 @@
-"""What the process before has to hand over: by its folder, else by a call to its management listener.
+"""Reads the state of the previous process (predecessor): from its folder, or by a call to its management
+listener.
 
-It may be busy, hung, paused, killed, of an earlier version or not there at all: a start never waits for it
-for long, and takes nothing that it cannot verify.
+The predecessor may be busy, hung, paused, killed, of an earlier version or absent. All waits are therefore
+short, and everything that is read is verified.
 """
 
 from __future__ import annotations
@@ -16,55 +17,57 @@
 from sprucenotch.node.config import Address
 from sprucenotch.node.connection import UNREADABLE, Answer, Connection
 from sprucenotch.node.transport import connect
-from sprucenotch.recovery.memory import Kept, decode
+from sprucenotch.recovery.memory import StateRecord, decode
 from sprucenotch.seams.disk import Disk
 from sprucenotch.seams.system_errors import retried
 from sprucenotch.store.reading import Owner, Schema, read
 
 PATH = "/api/handover"
-CALL_WITHIN = 0.25  # seconds for all of the call
-READ_WITHIN = 0.5  # for a disk that may hang
-BODY_MOST = 1 << 20
-# A compaction under way removes files between their names and their bytes, and a read may fail for a moment.
-READS = 6
-READ_PAUSE = 0.02  # seconds after one that failed
+CALL_TIMEOUT = 0.25  # seconds for the whole call
+READ_TIMEOUT = 0.5  # seconds; the disk may hang
+MAX_BODY_BYTES = 1 << 20
+# A running compaction may remove files between listing and reading them, and a read may fail temporarily.
+MAX_READS = 6
+READ_PAUSE = 0.02  # seconds after a failed read
 T = TypeVar("T")
 
 
-class Told(NamedTuple):
-    records: Sequence[Kept]
-    why_not: Sequence[str] = ()  # what was not taken
+class HandoverResult(NamedTuple):
+    """What was read from the predecessor."""
 
+    records: Sequence[StateRecord]
+    problems: Sequence[str] = ()  # why something was not read
 
-async def by_folder(disk: Disk, owner: Owner, schema: Schema[Kept], now: int) -> Told:
-    """What is kept there, also while the process before still writes. Changes nothing."""
 
-    def look() -> Told:
-        told = Told(())
-        for number in range(READS):
+async def read_folder(disk: Disk, owner: Owner, schema: Schema[StateRecord], now: int) -> HandoverResult:
+    """Read the records in the folder, without changes to it. The predecessor may still be writing there."""
+
+    def read_records() -> HandoverResult:
+        result = HandoverResult(())
+        for number in range(MAX_READS):
             try:
-                found = read(disk, owner, schema, now, future=None)  # each record tells its own moment
+                found = read(disk, owner, schema, now, future=None)  # each record has its own time
             except OSError:
-                if number == READS - 1:
+                if number == MAX_READS - 1:
                     raise
                 time.sleep(READ_PAUSE)
                 continue
-            told = Told(found.records, [str(refusal) for refusal in found.refused])
+            result = HandoverResult(found.records, [str(refusal) for refusal in found.refused])
             if not any(refusal.reason in ("not readable", "hole") for refusal in found.refused):
                 break
-        return told
+        return result
 
     try:
-        async with asyncio.timeout(READ_WITHIN):
-            return await in_thread(look)
+        async with asyncio.timeout(READ_TIMEOUT):
+            return await run_in_thread(read_records)
     except TimeoutError:
-        return Told((), ("the disk does not answer",))
+        return HandoverResult((), ("the disk does not answer",))
     except OSError as problem:
-        return Told((), (problem.strerror or str(problem),))
+        return HandoverResult((), (problem.strerror or str(problem),))
 
 
-def in_thread(work: Callable[[], T]) -> asyncio.Future[T]:
-    """Have it done by a thread of its own, which nobody waits for at the end."""
+def run_in_thread(work: Callable[[], T]) -> asyncio.Future[T]:
+    """Run `work` in a new daemon thread, which may outlive the program's shutdown."""
     loop = asyncio.get_running_loop()
     done: asyncio.Future[T] = loop.create_future()
 
@@ -76,43 +79,43 @@
         else:
             done.set_result(outcome)  # type: ignore[arg-type]
 
-    def do() -> None:
+    def run() -> None:
         try:
             outcome, problem = work(), None
         except BaseException as failure:
             outcome, problem = None, failure
-        with contextlib.suppress(RuntimeError):  # the loop is gone: nobody wants it any more
+        with contextlib.suppress(RuntimeError):  # the loop is closed, the result is not needed
             loop.call_soon_threadsafe(settle, outcome, problem)
 
-    threading.Thread(target=do, daemon=True).start()
+    threading.Thread(target=run, daemon=True).start()
     return done
 
 
-async def by_call(address: Address) -> Told:
-    """What it answers to a call."""
+async def call_predecessor(address: Address) -> HandoverResult:
+    """Request the state from the predecessor's management listener."""
     try:
-        async with asyncio.timeout(CALL_WITHIN):
+        async with asyncio.timeout(CALL_TIMEOUT):
             answer = await _call(address)
     except TimeoutError:
-        return Told((), ("no answer",))
+        return HandoverResult((), ("no answer",))
     except OSError as problem:
-        return Told((), (str(problem) or type(problem).__name__,))
+        return HandoverResult((), (str(problem) or type(problem).__name__,))
     if answer is None:
-        return Told((), ("no answer",))
+        return HandoverResult((), ("no answer",))
     if answer is UNREADABLE:
-        return Told((), (f"no HTTP answer of up to {BODY_MOST} bytes",))
+        return HandoverResult((), (f"no HTTP answer of up to {MAX_BODY_BYTES} bytes",))
     if answer.status != 200:
-        return Told((), (f"status {answer.status}",))
+        return HandoverResult((), (f"status {answer.status}",))
     try:
-        return Told((decode(answer.body),))
+        return HandoverResult((decode(answer.body),))
     except ValueError as problem:
-        return Told((), (f"malformed: {problem}",))
+        return HandoverResult((), (f"malformed: {problem}",))
 
 
 async def _call(address: Address) -> Answer | None:
     connection = Connection()
-    connection.body_most = BODY_MOST
-    await retried(lambda: connect(connection, address), CALL_WITHIN)
+    connection.body_most = MAX_BODY_BYTES
+    await retried(lambda: connect(connection, address), CALL_TIMEOUT)
     try:
         return await connection.ask(
             f"GET {PATH} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n\r\n".encode()
--- a/sprucenotch/recovery/service.py
+++ b/sprucenotch/recovery/service.py
@@ -1,4 +1,4 @@
-"""Recovery as a sidecar uses it: what it starts from, and what it keeps for the next process."""
+"""Recovery in a sidecar: the state it starts from, and the records it stores for its successor."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from sprucenotch import api
 from sprucenotch.node.config import Config, HostList, address
-from sprucenotch.node.config import Host as Entry
+from sprucenotch.node.config import Host as HostEntry
 from sprucenotch.node.host import Host
 from sprucenotch.node.log import event
 from sprucenotch.recovery import predecessor
-from sprucenotch.recovery.memory import FORMAT, SECOND, Kept, Recalled, back, recall
+from sprucenotch.recovery.memory import FORMAT, SECOND, RecoveredState, StateRecord, earlier_by, recover
 from sprucenotch.recovery.writer import Writer
 from sprucenotch.seams.clock import Clock, moment
 from sprucenotch.seams.disk import Disk, RealDisk
@@ -27,30 +27,32 @@
 
 log = logging.getLogger(__name__)
 
-BOOT_TIMEOUT = 0.5  # seconds for which the machine's boot is asked for, as all that is kept is dated by it
-FIRST = 0.1  # seconds to the first record: by then discovery has been asked where it is pushed
-EVERY = 1.0  # seconds between two records where no list changes
+BOOT_TIMEOUT = 0.5  # seconds to read the machine's boot id, which all stored times refer to
+FIRST_RECORD_DELAY = (
+    0.1  # seconds to the first record; by then, in the pushed mode, the agent has been called
+)
+RECORD_INTERVAL = 1.0  # seconds between records while the list is unchanged
 BOUNDS = Bounds(journal_bytes=1 << 20, journal_records=2000)
-CLOSE_WITHIN = 0.5  # seconds for the last record: a disk that hangs must not hold up the end
-SCHEMA: Schema[Kept] = Schema(FORMAT, Kept)
+CLOSE_TIMEOUT = 0.5  # seconds for the last record; a hung disk must not delay the exit
+SCHEMA: Schema[StateRecord] = Schema(FORMAT, StateRecord)
 
 
 class Recovery:
-    """Of a configuration that has `state`."""
+    """Recovers and records the state; used if the configuration has `state`."""
 
     def __init__(self, config: Config, state: State, clock: Clock, loop: asyncio.AbstractEventLoop) -> None:
-        self._known, self._state, self._clock, self._loop = config.known, state, clock, loop
+        self._configured_hosts, self._state, self._clock, self._loop = config.known, state, clock, loop
         self._owner = Owner(state.deployment, config.name)
         self._disk = self._open_disk(config) if state.dir else None
         self._writer: Writer | None = None
-        self._entries: dict[str, Entry] = {}  # of the list as discovery told it, by name
+        self._entries: dict[str, HostEntry] = {}  # of the list from discovery, by name
         self._seq = 0
-        self._changed = False  # whether the list is another than was kept last
+        self._changed = False  # whether the list differs from the one recorded last
         self._learned: Callable[[], api.Learned | None] = lambda: None
         self._list_age: Callable[[], int | None] = lambda: None
 
     def _open_disk(self, config: Config) -> Disk:
-        with contextlib.suppress(OSError):  # told once it is opened
+        with contextlib.suppress(OSError):  # reported when it is opened
             Path(self._state.dir).mkdir(mode=0o700, exist_ok=True)
         disk: Disk = RealDisk(Path(self._state.dir))
         if config.disk is not None and config.disk.record:
@@ -61,18 +63,22 @@
 
     # ---- the start
 
-    async def recall(self) -> Recalled:
-        """What the process before left or says; nothing where it has nothing that holds."""
+    async def recover(self) -> RecoveredState:
+        """Return the state that the previous process left or answers with; empty if none is valid."""
         await retried(self._read_boot, BOOT_TIMEOUT)
-        now, found = moment(self._clock), Recalled()
+        now, found = moment(self._clock), RecoveredState()
         if self._disk is not None:
-            told = await predecessor.by_folder(self._disk, self._owner, SCHEMA, self._clock.now())
-            found = self._judged("folder", told)
+            result = await predecessor.read_folder(self._disk, self._owner, SCHEMA, self._clock.now())
+            found = self._evaluate("folder", result)
         if not found.verified and self._state.predecessor:
-            called = self._judged("call", await predecessor.by_call(address(self._state.predecessor)))
-            if called.hosts is not None and (found.hosts is None or called.list_age <= found.list_age):
-                found = called
-        outdated = found.hosts is not None and found.hosts.seq < self._known.seq and not found.verified
+            from_call = self._evaluate(
+                "call", await predecessor.call_predecessor(address(self._state.predecessor))
+            )
+            if from_call.hosts is not None and (found.hosts is None or from_call.list_age <= found.list_age):
+                found = from_call
+        outdated = (
+            found.hosts is not None and found.hosts.seq < self._configured_hosts.seq and not found.verified
+        )
         ms = 1_000_000
         event(
             log, logging.INFO, "recalled", version=-1 if found.hosts is None else found.hosts.seq,
@@ -80,77 +86,82 @@
             learned=found.learned is not None,
             learned_age_ms=found.learned_age // ms, took_ms=(moment(self._clock).at - now.at) // ms,
         )  # fmt: skip
-        return found._replace(hosts=None) if outdated else found  # what the configuration has is newer
+        return found._replace(hosts=None) if outdated else found  # the configured list is newer
 
     async def _read_boot(self) -> None:
         moment(self._clock)
 
-    def _judged(self, by: str, told: predecessor.Told) -> Recalled:
-        found, left = recall(told.records, moment(self._clock), int(self._state.oldest_ns))
-        for why in (*told.why_not, *left):
+    def _evaluate(self, by: str, result: predecessor.HandoverResult) -> RecoveredState:
+        found, rejected = recover(result.records, moment(self._clock), int(self._state.oldest_ns))
+        for why in (*result.problems, *rejected):
             event(log, logging.WARNING, "not recalled", by=by, why=why)
         return found
 
-    # ---- from then on
+    # ---- recording
 
-    def keep(self, host: Host, list_age: Callable[[], int | None]) -> None:
-        """Keep what it learns from now on. `list_age`: nanoseconds since the list was confirmed, None where
-        it was not to this process."""
-        self._learned, self._list_age, host.heard = host.learned, list_age, self._heard
+    def start_recording(self, host: Host, list_age: Callable[[], int | None]) -> None:
+        """Record the state of `host` from now on.
+
+        `list_age` returns nanoseconds since the list was confirmed to this process, None if it never was.
+        """
+        self._learned, self._list_age, host.heard = host.learned, list_age, self._on_list
         if self._disk is not None:
-            self._writer = Writer(self._opened, self._state.sync_ns / SECOND, lambda: moment(self._clock))
+            self._writer = Writer(self._open_store, self._state.sync_ns / SECOND, lambda: moment(self._clock))
             self._writer.start()
-            self._loop.call_later(FIRST, self._tick)
+            self._loop.call_later(FIRST_RECORD_DELAY, self._tick)
 
-    def _opened(self) -> Opened[Kept]:
+    def _open_store(self) -> Opened[StateRecord]:
         assert self._disk is not None
         now, mode = self._clock.now(), self._state.mode
         return open_store(self._disk, self._owner, SCHEMA, now, mode, BOUNDS, future=None)
 
-    def _heard(self, told: HostList, kind: int) -> None:
-        """A list, or changes of it, has come."""
+    def _on_list(self, update: HostList, kind: int) -> None:
+        """Handle a new list or changes to it."""
         if kind != api.ListKind.DELTA:
             self._entries = {}
-        for entry in told.hosts:
+        for entry in update.hosts:
             if entry.endpoint.health == api.Health.GONE:
                 self._entries.pop(entry.name, None)
             else:
                 self._entries[entry.name] = entry
-        self._seq = told.seq
+        self._seq = update.seq
         self._changed = True
         if kind != api.ListKind.CACHED:
-            self._put()
+            self._write_record()
 
     def _tick(self) -> None:
         if self._writer is not None:
-            self._loop.call_later(EVERY, self._tick)
-            self._put()
+            self._loop.call_later(RECORD_INTERVAL, self._tick)
+            self._write_record()
 
-    def _put(self) -> None:
+    def _write_record(self) -> None:
         if self._writer is not None:
-            kept = self._kept(with_list=self._changed)
-            self._changed &= kept.hosts is None
-            self._writer.put(kept)
+            record = self._record(with_list=self._changed)
+            self._changed &= record.hosts is None
+            self._writer.put(record)
+
+    def _record(self, with_list: bool) -> StateRecord:
+        """Return the current state as a record.
 
-    def _kept(self, with_list: bool) -> Kept:
-        """How things stand. The list goes with it only once discovery has told or confirmed it to this
-        process: what others said of it is kept already."""
+        It contains the list only once discovery has sent or confirmed it to this process; a list from another
+        source is already stored.
+        """
         now, old = moment(self._clock), self._list_age()
-        confirmed, hosts = (None if old is None else back(now, old)), None
+        confirmed, hosts = (None if old is None else earlier_by(now, old)), None
         if with_list and confirmed is not None:
             hosts = HostList(self._seq, True, tuple(self._entries.values()))
-        return Kept(FORMAT, now, confirmed, hosts, self._learned())
+        return StateRecord(FORMAT, now, confirmed, hosts, self._learned())
 
     path = predecessor.PATH.encode()
 
     def handover_record(self) -> bytes:
-        """What a call for the handover gets."""
-        return msgspec.msgpack.encode(self._kept(with_list=True))
+        """Return the encoded record for a hand-over call."""
+        return msgspec.msgpack.encode(self._record(with_list=True))
 
     def close(self) -> None:
-        """The last record. The folder is the successor's once this process has ended."""
+        """Write the last record. The successor takes over the folder once this process has ended."""
         if self._writer is not None:
             writer, self._writer = self._writer, None
-            writer.put(self._kept(with_list=self._changed))
-            if not writer.close(CLOSE_WITHIN):
+            writer.put(self._record(with_list=self._changed))
+            if not writer.close(CLOSE_TIMEOUT):
                 event(log, logging.WARNING, "state not closed in time")
--- a/sprucenotch/recovery/writer.py
+++ b/sprucenotch/recovery/writer.py
@@ -1,7 +1,7 @@
-"""The one thread that writes to the store, so that no disk ever holds up a request.
+"""The thread that writes to the store, so that a slow disk never delays a request.
 
-It opens the store as soon as the process before lets go of it, and keeps what it is given in order. What
-comes while the disk is slow is put together into one record, as a later one says all that an earlier did.
+It opens the store as soon as the previous process releases it, and writes records in order. Records that
+arrive while the disk is slow are merged into one.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from collections.abc import Callable
 
 from sprucenotch.node.log import event
-from sprucenotch.recovery.memory import Kept, fold, merged
+from sprucenotch.recovery.memory import StateRecord, fold, merge
 from sprucenotch.seams.clock import Moment
 from sprucenotch.store.store import Opened, Store, StoreLocked
 
 log = logging.getLogger(__name__)
 
-REOPEN_INTERVAL = 1.0  # seconds between two tries to keep again what a disk that failed did not take
-TRY_AGAIN = 0.1  # seconds between two looks whether the process before has ended
+REOPEN_INTERVAL = 1.0  # seconds between attempts to write again after a disk failure
+LOCK_RETRY_INTERVAL = 0.1  # seconds between attempts to lock the store, held by the previous process
 
 
 class Writer:
-    """`opens` opens the store, or raises StoreLocked."""
+    """Writes records to a store. `open_store` opens it, or raises StoreLocked."""
 
     def __init__(
-        self, opens: Callable[[], Opened[Kept]], sync_every: float, now: Callable[[], Moment]
+        self, open_store: Callable[[], Opened[StateRecord]], sync_every: float, now: Callable[[], Moment]
     ) -> None:
-        self._opens, self._sync_every, self._now = opens, sync_every, now
-        self._mail: Kept | None = None
-        self._state: Kept | None = None  # all that is kept, as one record
-        self._news = threading.Condition()
-        self._ending = False
-        self.store: Store[Kept] | None = None
+        self._open_store, self._sync_every, self._now = open_store, sync_every, now
+        self._pending: StateRecord | None = None
+        self._state: StateRecord | None = None  # everything stored, as one record
+        self._condition = threading.Condition()
+        self._closing = False
+        self.store: Store[StateRecord] | None = None
         self._problem_opening = ""
         self._thread = threading.Thread(target=self._run, name="state", daemon=True)
 
@@ -42,45 +42,45 @@
 
     @property
     def problem(self) -> str:
-        """Why nothing is kept; empty where it is, or where the process before still writes."""
+        """Why nothing can be stored; empty if it can, or while the previous process still writes."""
         return self._problem_opening if self.store is None else self.store.problem
 
-    def put(self, kept: Kept) -> None:
-        """Have it kept soon. Never waits for the disk."""
-        with self._news:
-            self._mail = merged(self._mail, kept)
-            self._news.notify()
+    def put(self, record: StateRecord) -> None:
+        """Queue a record for writing. Never waits for the disk."""
+        with self._condition:
+            self._pending = merge(self._pending, record)
+            self._condition.notify()
 
     def close(self, within: float) -> bool:
-        """Keep what was given and close the store; whether that was done within so many seconds."""
-        with self._news:
-            self._ending = True
-            self._news.notify()
+        """Write the queued record and close the store; whether that was done within `within` seconds."""
+        with self._condition:
+            self._closing = True
+            self._condition.notify()
         self._thread.join(within)
         return not self._thread.is_alive()
 
     def _run(self) -> None:
         while self.store is None:
-            pause = TRY_AGAIN
+            pause = LOCK_RETRY_INTERVAL
             try:
                 self._open()
                 pause = REOPEN_INTERVAL
             except StoreLocked:
                 pass
-            with self._news:
-                if self.store is None and self._news.wait_for(lambda: self._ending, pause):
+            with self._condition:
+                if self.store is None and self._condition.wait_for(lambda: self._closing, pause):
                     return
         synced = reopened = time.monotonic()
         while True:
-            with self._news:
+            with self._condition:
                 until_sync = max(0.0, synced + self._sync_every - time.monotonic())
-                self._news.wait_for(lambda: self._mail is not None or self._ending, until_sync)
-                kept, self._mail, ending = self._mail, None, self._ending
-            if kept is not None:
-                self._keep(kept)
+                self._condition.wait_for(lambda: self._pending is not None or self._closing, until_sync)
+                record, self._pending, ending = self._pending, None, self._closing
+            if record is not None:
+                self._write(record)
             if self.store.problem and time.monotonic() - reopened >= REOPEN_INTERVAL:
                 reopened = time.monotonic()
-                self._begin_anew()
+                self._rewrite_state()
             if ending:
                 self.store.close()
                 return
@@ -89,8 +89,8 @@
                 synced = time.monotonic()
 
     def _open(self) -> None:
-        """Open the store, unless its disk fails: what could not be read must not be written over."""
-        opened = self._opens()
+        """Open the store, unless its disk fails: what could not be read must not be overwritten."""
+        opened = self._open_store()
         if opened.problem:
             if not self._problem_opening:
                 event(log, logging.WARNING, "state cannot be kept", why=opened.problem)
@@ -101,23 +101,23 @@
             event(log, logging.WARNING, "state not taken", why=str(refusal))
         for name in opened.set_aside:
             event(log, logging.WARNING, "state set aside", file=name)
-        # What the process before kept stays until this one knows better, each part for itself.
+        # What the previous process stored remains until this one replaces it, separately for each field.
         self._state, _ = fold(opened.found.records, self._now())
         self.store = opened.store
 
-    def _begin_anew(self) -> None:
-        """Keep all of it once more, on a disk that failed a while ago."""
+    def _rewrite_state(self) -> None:
+        """Write the whole state again, after a disk failure."""
         assert self.store is not None and self._state is not None
-        self.store.begin_anew((self._state,), self._now().wall)
+        self.store.start_new_generation((self._state,), self._now().wall)
         if not self.store.problem:
             event(log, logging.INFO, "state is kept again")
 
-    def _keep(self, kept: Kept) -> None:
+    def _write(self, record: StateRecord) -> None:
         assert self.store is not None
         failed = bool(self.store.problem)
-        self._state = merged(self._state, kept)
-        self.store.append(kept)
-        if self.store.due:
+        self._state = merge(self._state, record)
+        self.store.append(record)
+        if self.store.compaction_due:
             for _ in self.store.compact((self._state,), self._now().wall):
                 pass
         if self.store.problem and not failed:
--- a/sprucenotch/store/frame.py
+++ b/sprucenotch/store/frame.py
@@ -1,4 +1,4 @@
-"""A file of the store: a preamble, a header, and frames of length, sequence, checksum and payload."""
+"""The file format of the store: preamble, header, frames of length, sequence, checksum and payload."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from msgspec import Struct
 
 MAGIC = b"SPRN"
-FORMAT = 1  # of these files; what is in the payloads has a schema of its own
+FORMAT = 1  # of the files; the payloads have a schema version of their own
 PREAMBLE = struct.Struct("<4sHxx")  # magic, format
-FRAME = struct.Struct("<IQQ")  # length of the payload, sequence, checksum of all of it
-RECORD_MOST = 1 << 20  # bytes of a payload
+FRAME = struct.Struct("<IQQ")  # length of the payload, sequence, checksum of both
+MAX_RECORD_BYTES = 1 << 20  # of a payload
 
 
 class Header(Struct, frozen=True, array_like=True):
-    """The first frame of a file, with the sequence before its first record."""
+    """The first frame of a file. Its sequence is the one before the first record."""
 
     kind: Literal["snapshot", "journal"]
     generation: int
     schema: int  # of the records
     deployment: str
     owner: str
-    at: int  # nanoseconds of Unix time at which it was begun
+    at: int  # creation of the file, in nanoseconds of Unix time
 
 
-class End(Struct, frozen=True, array_like=True):
-    """The last frame of a snapshot: without it the snapshot is not whole."""
+class SnapshotEnd(Struct, frozen=True, array_like=True):
+    """The last frame of a snapshot; without it the snapshot is incomplete."""
 
     records: int
 
@@ -40,9 +40,9 @@
 
 
 class Damage(NamedTuple):
-    """Where reading ended before the end of the file, and why."""
+    """Where and why reading stopped before the end of the file."""
 
-    at: int  # bytes
+    at: int  # offset in bytes
     reason: Literal["torn", "checksum", "hole", "length"]
 
 
@@ -51,33 +51,33 @@
 
 
 def encode(sequence: int, payload: bytes) -> bytes:
-    """Raises ValueError for a payload that is too long."""
-    if len(payload) > RECORD_MOST:
-        raise ValueError(f"a record of {len(payload)} bytes, at most {RECORD_MOST} are kept")
+    """Encode a frame. Raises ValueError if the payload is too long."""
+    if len(payload) > MAX_RECORD_BYTES:
+        raise ValueError(f"record of {len(payload)} bytes exceeds the limit of {MAX_RECORD_BYTES}")
     return FRAME.pack(len(payload), sequence, checksum(sequence, payload)) + payload
 
 
-def begin(header: Header, sequence: int) -> bytes:
-    """How a file begins whose first record comes after that sequence."""
+def file_start(header: Header, sequence: int) -> bytes:
+    """Encode preamble and header of a file whose first record follows `sequence`."""
     return PREAMBLE.pack(MAGIC, FORMAT) + encode(sequence, msgspec.msgpack.encode(header))
 
 
-def frames(raw: bytes) -> Iterator[Frame | Damage]:
-    """The frames after the preamble, in contiguous sequence; damage, if there is any, comes last."""
+def read_frames(raw: bytes) -> Iterator[Frame | Damage]:
+    """Yield the frames after the preamble, in contiguous sequence, and finally the damage if there is any."""
     at, expected = PREAMBLE.size, -1
     while at < len(raw):
         if at + FRAME.size > len(raw):
             yield Damage(at, "torn")
             return
-        length, sequence, told = FRAME.unpack_from(raw, at)
-        if length > RECORD_MOST:
+        length, sequence, stored_checksum = FRAME.unpack_from(raw, at)
+        if length > MAX_RECORD_BYTES:
             yield Damage(at, "length")
             return
         payload = raw[at + FRAME.size : at + FRAME.size + length]
         if len(payload) < length:
             yield Damage(at, "torn")
             return
-        if told != checksum(sequence, payload):
+        if stored_checksum != checksum(sequence, payload):
             yield Damage(at, "checksum")
             return
         if expected not in (-1, sequence):
--- a/sprucenotch/store/reading.py
+++ b/sprucenotch/store/reading.py
@@ -1,7 +1,7 @@
-"""What a start finds in a folder: the records that are whole, and a reason for everything that is not taken.
+"""Reading a store: all intact records, and a reason for everything that is refused.
 
-The base is the snapshot of the highest generation that is whole; the journals of its and of later generations
-follow, as long as their sequence goes on without a hole. Reading changes nothing.
+The base is the intact snapshot of the highest generation. The journals of the same and of later generations
+follow, as long as their sequence has no gap. Reading changes nothing.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 from sprucenotch.seams.disk import Disk
 from sprucenotch.seams.system_errors import is_exhaustion
-from sprucenotch.store.frame import FORMAT, MAGIC, PREAMBLE, Damage, End, Frame, Header, frames
+from sprucenotch.store.frame import FORMAT, MAGIC, PREAMBLE, Damage, Frame, Header, SnapshotEnd, read_frames
 
 SECOND = 1_000_000_000
-FUTURE = 60 * SECOND  # by which another machine's clock may be ahead
+MAX_CLOCK_AHEAD = 60 * SECOND  # by which the clock of another machine may be ahead
 R = TypeVar("R")
 
 Reason: TypeAlias = Literal[
@@ -26,18 +26,19 @@
     "unknown schema", "another owner", "another deployment", "from the future", "too old", "not a file",
     "not readable", "record",
 ]  # fmt: skip
-NAME = re.compile(r"(snapshot|journal)\.([0-9]{1,18})")  # others, such as .new and .broken-1, are not read
+# Others, such as .new and .broken-1, are not read.
+FILE_NAME = re.compile(r"(snapshot|journal)\.([0-9]{1,18})")
 
 
 class Owner(NamedTuple):
-    """Whose files these are: others' are not taken."""
+    """The owner of the files; those of other owners are refused."""
 
     deployment: str
     name: str
 
 
 class Schema(NamedTuple, Generic[R]):
-    """What the records are. Older ones are taken up by what makes a record of the next schema of them."""
+    """The type of the records. `older` has a decoder for each older version that can still be read."""
 
     version: int
     kind: type[R]
@@ -45,11 +46,11 @@
 
 
 class Refusal(NamedTuple):
-    """A file, or the rest of one, that is not taken."""
+    """A file, or the rest of one, that is refused."""
 
     name: str
     reason: Reason
-    at: int = 0  # bytes from which on
+    at: int = 0  # offset in bytes at which the refused part begins
 
     def __str__(self) -> str:
         where = f" from byte {self.at} on" if self.at else ""
@@ -57,11 +58,13 @@
 
 
 class Found(NamedTuple, Generic[R]):
-    records: tuple[R, ...]  # the snapshot's, then the journals'
-    sequence: int  # of the last one; 0 for none
-    generation: int  # the highest that any file has, so that no name is used twice
+    """The contents of a store."""
+
+    records: tuple[R, ...]  # those of the snapshot, then those of the journals
+    sequence: int  # of the last record; 0 if there is none
+    generation: int  # the highest of any file, so that no file name is reused
     refused: tuple[Refusal, ...]
-    files: tuple[str, ...]  # all that the store has, taken or not
+    files: tuple[str, ...]  # all files of the store, refused or not
 
 
 class _File(NamedTuple):
@@ -77,24 +80,27 @@
     schema: Schema[R],
     now: int,
     oldest: int | None = None,
-    future: int | None = FUTURE,
+    future: int | None = MAX_CLOCK_AHEAD,
 ) -> Found[R]:
-    """Everything in the folder, judged. `now`, `oldest` and `future` are nanoseconds: Unix time, the age
-    beyond which files are too old, and by how much they may be ahead (None: by any time). Raises OSError
-    where the folder itself cannot be read, or descriptors or memory are short."""
+    """Read and verify everything in the folder.
+
+    Times are in nanoseconds: `now` is Unix time, `oldest` the age above which files are too old, and `future`
+    by how much they may be ahead (None: no limit). Raises OSError if the folder cannot be read, or if
+    descriptors or memory are exhausted.
+    """
     refused: list[Refusal] = []
     snapshots, journals = dict[int, _File](), dict[int, _File]()
-    names = sorted(name for name in disk.names() if NAME.fullmatch(name))
+    names = sorted(name for name in disk.names() if FILE_NAME.fullmatch(name))
     for name in names:
-        file = _file(disk, name, refused)
-        if file is None or not _ours(name, file, owner, schema, now, oldest, future, refused):
+        file = _read_file(disk, name, refused)
+        if file is None or not _is_acceptable(name, file, owner, schema, now, oldest, future, refused):
             continue
-        found = NAME.fullmatch(name)
+        found = FILE_NAME.fullmatch(name)
         assert found is not None
         (snapshots if found[1] == "snapshot" else journals)[int(found[2])] = file
     records, sequence, base = list[R](), 0, 0
     for generation in sorted(snapshots, reverse=True):
-        whole = _whole(f"snapshot.{generation}", snapshots[generation], schema, refused)
+        whole = _snapshot_records(f"snapshot.{generation}", snapshots[generation], schema, refused)
         if whole is not None:
             records, sequence, base = whole, snapshots[generation].first, generation
             break
@@ -107,25 +113,25 @@
             refused.append(Refusal(name, "hole"))
             ended = True
             continue
-        sequence, ended = _follow(name, file, schema, records, sequence, refused)
+        sequence, ended = _append_journal(name, file, schema, records, sequence, refused)
     highest = max((int(name.partition(".")[2]) for name in names), default=0)
     return Found(tuple(records), sequence, highest, tuple(refused), tuple(names))
 
 
 def headers(disk: Disk) -> dict[str, Header]:
-    """Of all files whose header can be read, by name. Raises OSError where the folder cannot be."""
-    files = {name: _file(disk, name, []) for name in disk.names() if NAME.fullmatch(name)}
+    """Return the readable headers by file name. Raises OSError if the folder cannot be read."""
+    files = {name: _read_file(disk, name, []) for name in disk.names() if FILE_NAME.fullmatch(name)}
     return {name: file.header for name, file in files.items() if file is not None}
 
 
-def _file(disk: Disk, name: str, refused: list[Refusal]) -> _File | None:
+def _read_file(disk: Disk, name: str, refused: list[Refusal]) -> _File | None:
     try:
         raw = disk.read(name)
     except IsADirectoryError:
         refused.append(Refusal(name, "not a file"))
         return None
     except OSError as problem:
-        if is_exhaustion(problem):  # it says nothing of the file
+        if is_exhaustion(problem):  # not a property of the file
             raise
         reason: Reason = "not a file" if problem.errno in (errno.ELOOP, errno.ENOTDIR) else "not readable"
         refused.append(Refusal(name, reason))
@@ -140,7 +146,7 @@
     if version > FORMAT:
         refused.append(Refusal(name, "newer format"))
         return None
-    read = list(frames(raw))
+    read = list(read_frames(raw))
     damage = read.pop() if read and isinstance(read[-1], Damage) else None
     whole = [frame for frame in read if isinstance(frame, Frame)]
     if not whole:
@@ -154,7 +160,7 @@
     return _File(header, whole[0].sequence, whole[1:], damage if isinstance(damage, Damage) else None)
 
 
-def _ours(
+def _is_acceptable(
     name: str,
     file: _File,
     owner: Owner,
@@ -186,20 +192,20 @@
 
 
 def _decode(payload: bytes, version: int, schema: Schema[R]) -> R:
-    """Raises msgspec.MsgspecError, or ValueError from what takes up an older one."""
+    """Decode a record. Raises msgspec.MsgspecError, or ValueError from the decoder of an older version."""
     if version != schema.version:
         return schema.older[version](payload)
     return msgspec.msgpack.decode(payload, type=schema.kind)
 
 
-def _whole(name: str, file: _File, schema: Schema[R], refused: list[Refusal]) -> list[R] | None:
-    """The records of a snapshot, all or none."""
+def _snapshot_records(name: str, file: _File, schema: Schema[R], refused: list[Refusal]) -> list[R] | None:
+    """Return the records of a snapshot, or None if any of it is broken."""
     if file.damage is not None:
         refused.append(Refusal(name, file.damage.reason, file.damage.at))
         return None
     try:
-        told = msgspec.msgpack.decode(file.frames[-1].payload, type=End) if file.frames else None
-        if told is None or told.records != len(file.frames) - 1:
+        trailer = msgspec.msgpack.decode(file.frames[-1].payload, type=SnapshotEnd) if file.frames else None
+        if trailer is None or trailer.records != len(file.frames) - 1:
             raise ValueError
     except (msgspec.MsgspecError, ValueError):
         refused.append(Refusal(name, "not whole"))
@@ -211,14 +217,16 @@
         return None
 
 
-def _follow(
+def _append_journal(
     name: str, file: _File, schema: Schema[R], records: list[R], sequence: int, refused: list[Refusal]
 ) -> tuple[int, bool]:
-    """Add a journal's records after that sequence: the last one then, and whether it is the end of what
-    can be taken."""
+    """Append the journal's records after `sequence`.
+
+    Returns the sequence of the last record, and whether reading must stop there.
+    """
     for frame in file.frames:
         if frame.sequence <= sequence:
-            continue  # the snapshot has it
+            continue  # contained in the snapshot
         try:
             records.append(_decode(frame.payload, file.header.schema, schema))
         except (msgspec.MsgspecError, ValueError):
--- a/sprucenotch/store/store.py
+++ b/sprucenotch/store/store.py
@@ -1,9 +1,10 @@
-"""The store: opened with a check, appended to, compacted in steps, one writer at a time.
+"""The store: verified when it is opened, append-only, compacted in steps, with one writer at a time.
 
-A compaction of generation g begins journal g+1, to which records go from then on, and writes the state at
-that moment into snapshot g+1 under another name, a few records a step. Once that is whole and durable it
-gets its name, and then the files of generation g and before are removed. Cut at any step, a start finds
-either the old snapshot with both journals, or the new one with its own.
+A compaction of generation g begins journal g+1, to which records are appended from then on, and writes the
+state at that moment to a temporary file for snapshot g+1, a few records per step. Once that file is complete
+and durable it is renamed to its final name, and then the files of generation g and before are removed. After
+a crash at any step, a start finds either the old snapshot with both journals, or the new snapshot with its
+own journal.
 """
 
 from __future__ import annotations
@@ -15,57 +16,61 @@
 import msgspec
 
 from sprucenotch.seams.disk import Disk, File
-from sprucenotch.store.frame import End, Header, begin, encode
-from sprucenotch.store.reading import FUTURE, NAME, Found, Owner, Schema, read
+from sprucenotch.store.frame import Header, SnapshotEnd, encode, file_start
+from sprucenotch.store.reading import FILE_NAME, MAX_CLOCK_AHEAD, Found, Owner, Schema, read
 
 R = TypeVar("R")
 Mode: TypeAlias = Literal["none", "interval", "always"]
-LOCK = "lock"
-BROKEN = ".broken-"
-STEP = 64  # records of a snapshot a step
+LOCK_NAME = "lock"
+BROKEN_SUFFIX = ".broken-"
+RECORDS_PER_STEP = 64  # of a snapshot
 
 
 class Bounds(NamedTuple):
-    """From where on a compaction is due."""
+    """The limits from which on a compaction is due."""
 
     journal_bytes: int = 4 << 20
     journal_records: int = 50_000
-    files: int = 8  # every start begins a journal
+    files: int = 8  # each start begins a new journal
 
 
 class Opened(NamedTuple, Generic[R]):
+    """The result of `open_store`."""
+
     store: Store[R]
     found: Found[R]
-    set_aside: tuple[str, ...]  # the names that what is broken has now
-    problem: str  # why nothing can be written; empty where it can
+    set_aside: tuple[str, ...]  # the new names of broken files
+    problem: str  # why nothing can be written; empty if it can
 
 
 class StoreLocked(Exception):
-    """Another process writes there."""
+    """Another process holds the lock of the store."""
 
 
 class Store(Generic[R]):
-    """Made by `open_store`. Where the disk cannot be written, records are taken and counted as not kept."""
+    """Created by `open_store`. While the disk cannot be written, appended records are dropped and counted."""
 
     def __init__(self, disk: Disk, owner: Owner, schema: Schema[R], mode: Mode, bounds: Bounds) -> None:
         self._disk, self._owner, self._schema = disk, owner, schema
         self.mode, self.bounds = mode, bounds
         self.sequence = self.generation = 0
-        self.not_kept = 0  # records since the disk failed
+        self.dropped_records = 0  # records since the disk failed
         self.problem = ""
         self._journal: File | None = None
         self._bytes = self._records = self._unsynced = 0
-        self._files = 0  # that a start would have to read
+        self._files = 0  # number of files that a start would have to read
 
     # ---- writing
 
     def append(self, record: R) -> int:
-        """Keep a record, as durably as the mode has it; its sequence. A disk that fails is told by
-        `problem`."""
+        """Append a record, durable according to the mode, and return its sequence.
+
+        A disk failure is reported in `problem`.
+        """
         self.sequence += 1
         raw = encode(self.sequence, msgspec.msgpack.encode(record))
         if self._journal is None or self.problem:
-            self.not_kept += 1
+            self.dropped_records += 1
             return self.sequence
         try:
             self._journal.write(raw)
@@ -80,7 +85,7 @@
         return self.sequence
 
     def sync(self) -> None:
-        """Make everything durable that was appended, unless the mode is `none`."""
+        """Make all appended records durable, unless the mode is `none`."""
         if self.mode != "none" and self._journal is not None and self._unsynced:
             try:
                 self._sync()
@@ -93,9 +98,9 @@
         self._unsynced = 0
 
     def _fail(self, problem: OSError) -> None:
-        """Nothing more is written there: after a failed write or sync nobody knows what the file holds."""
+        """Stop writing to the journal: after a failed write or sync its contents are unknown."""
         self.problem = problem.strerror or str(problem)
-        self.not_kept += 1
+        self.dropped_records += 1
         if self._journal is not None:
             with contextlib.suppress(OSError):
                 self._journal.close()
@@ -104,27 +109,34 @@
     # ---- compaction
 
     @property
-    def due(self) -> bool:
-        """Whether the journal has outgrown its bounds."""
+    def compaction_due(self) -> bool:
+        """Whether the journal or the number of files has reached its bounds."""
         grown = self._bytes >= self.bounds.journal_bytes or self._records >= self.bounds.journal_records
         return (grown or self._files > self.bounds.files) and self._journal is not None
 
     def compact(self, state: Iterable[R], now: int) -> Iterator[None]:
-        """Replace all that is kept by these records, which are the state after the last one appended. It
-        begins at once and goes on a step a `next`, each bounded; what is appended meanwhile is kept as
-        ever. `now`: nanoseconds of Unix time."""
-        kept, sequence = tuple(state), self.sequence
+        """Replace everything stored by these records, the state after the last appended record.
+
+        Begins at once and does one bounded step per `next`; appends meanwhile work as usual. `now` is Unix
+        time in nanoseconds.
+        """
+        records, sequence = tuple(state), self.sequence
         try:
-            old = [name for name in self._disk.names() if NAME.match(name) and BROKEN not in name]
+            old_names = [
+                name for name in self._disk.names() if FILE_NAME.match(name) and BROKEN_SUFFIX not in name
+            ]
             self._begin_journal(now)
         except OSError as problem:
             self._fail(problem)
             return iter(())
-        return self._guarded(self._snapshot(kept, sequence, now, old))
+        return self._guarded(self._snapshot(records, sequence, now, old_names))
 
-    def begin_anew(self, state: Iterable[R], now: int) -> None:
-        """Go on after a failure, with a generation of its own that holds these records: nobody knows what the
-        file that failed holds. `problem` tells whether it failed again; what was durable before stays."""
+    def start_new_generation(self, state: Iterable[R], now: int) -> None:
+        """Continue after a failure with a new generation that contains these records.
+
+        The contents of the file that failed are unknown; what was durable before remains. `problem` tells
+        whether this failed again.
+        """
         self.problem = ""
         for _ in self.compact(state, now):
             pass
@@ -135,16 +147,18 @@
         except OSError as problem:
             self._fail(problem)
 
-    def _snapshot(self, state: tuple[R, ...], sequence: int, now: int, old: Iterable[str]) -> Iterator[None]:
-        """Write the snapshot of this generation, the state at that sequence, and remove the old files."""
+    def _snapshot(
+        self, state: tuple[R, ...], sequence: int, now: int, old_names: Iterable[str]
+    ) -> Iterator[None]:
+        """Write the snapshot of this generation, the state at `sequence`, and remove the old files."""
         name = f"snapshot.{self.generation}"
         file = self._disk.open(f"{name}.new", anew=True)
-        file.write(begin(self._header("snapshot", now), sequence))
-        for start in range(0, len(state), STEP):
-            part = enumerate(state[start : start + STEP], sequence + 1 + start)
+        file.write(file_start(self._header("snapshot", now), sequence))
+        for start in range(0, len(state), RECORDS_PER_STEP):
+            part = enumerate(state[start : start + RECORDS_PER_STEP], sequence + 1 + start)
             file.write(b"".join(encode(number, msgspec.msgpack.encode(record)) for number, record in part))
             yield
-        end = msgspec.msgpack.encode(End(len(state)))
+        end = msgspec.msgpack.encode(SnapshotEnd(len(state)))
         file.write(encode(sequence + 1 + len(state), end))
         file.sync()
         file.close()
@@ -152,12 +166,12 @@
         self._disk.rename(f"{name}.new", name)
         self._disk.sync_names()
         yield
-        for gone in old:
-            self._disk.remove(gone)
+        for old_name in old_names:
+            self._disk.remove(old_name)
         self._files = 2
 
     def _begin_journal(self, now: int) -> None:
-        """The next generation's, in the place of the one so far, which is durable before."""
+        """Begin the journal of the next generation, after making the current one durable."""
         if self._journal is not None:
             if self.mode != "none":
                 self._sync()
@@ -165,7 +179,7 @@
             self._journal = None
         self.generation += 1
         journal = self._disk.open(f"journal.{self.generation}", anew=True)
-        journal.write(begin(self._header("journal", now), self.sequence))
+        journal.write(file_start(self._header("journal", now), self.sequence))
         journal.sync()
         self._disk.sync_names()
         self._journal = journal
@@ -178,13 +192,16 @@
 
     # ---- opening and closing
 
-    def take_up(self, found: Found[R], now: int) -> tuple[str, ...]:
-        """Go on from what a start found. Where something is broken, the records that are whole go into a
-        generation of their own, and only then is it set aside; the names that it has now. Raises OSError."""
+    def resume(self, found: Found[R], now: int) -> tuple[str, ...]:
+        """Continue from the contents found at a start. Raises OSError.
+
+        If anything is broken, the intact records are first written to a new generation, and only then the
+        broken files are set aside; their new names are returned.
+        """
         broken = list(dict.fromkeys(refusal.name for refusal in found.refused))
         if not broken:
-            # What the process before had not synced is in memory alone. Were it lost in a power cut now, all
-            # that comes after it would follow a hole, and promised records with it.
+            # Records not synced by the previous process are only in memory. If a power cut lost them now, all
+            # later records would follow a gap and be lost too, even durable ones.
             for name in found.files if self.mode != "none" else ():
                 file = self._disk.open(name)
                 file.sync()
@@ -202,13 +219,13 @@
 
     def _set_aside(self, name: str) -> str:
         taken, number = set(self._disk.names()), 1
-        while f"{name}{BROKEN}{number}" in taken:
+        while f"{name}{BROKEN_SUFFIX}{number}" in taken:
             number += 1
-        self._disk.rename(name, f"{name}{BROKEN}{number}")
-        return f"{name}{BROKEN}{number}"
+        self._disk.rename(name, f"{name}{BROKEN_SUFFIX}{number}")
+        return f"{name}{BROKEN_SUFFIX}{number}"
 
     def close(self) -> None:
-        """Durable, as far as the mode has it, and closed."""
+        """Make everything durable according to the mode, and close the journal."""
         self.sync()
         if self._journal is not None:
             self._journal.close()
@@ -221,13 +238,16 @@
     schema: Schema[R],
     now: int,
     mode: Mode = "interval",
-    bounds: Bounds = Bounds(),  # noqa: B008 - a value that nobody can change
+    bounds: Bounds = Bounds(),  # noqa: B008 - immutable
     oldest: int | None = None,
-    future: int | None = FUTURE,
+    future: int | None = MAX_CLOCK_AHEAD,
 ) -> Opened[R]:
-    """Read what is there and go on from it. Always a start: where the folder cannot be read there are no
-    records, where it cannot be written none are kept, and `problem` says why; then the lock is let go, so
-    that it can be opened again. Raises StoreLocked."""
+    """Open the store and read its records. Raises StoreLocked.
+
+    Disk failures do not raise: if the folder cannot be read there are no records, if it cannot be written
+    nothing is stored, and `problem` says why. In that case the lock is released, so that the store can be
+    opened again.
+    """
     opened = _open(disk, owner, schema, now, mode, bounds, oldest, future)
     if opened.problem:
         disk.unlock()
@@ -246,7 +266,7 @@
 ) -> Opened[R]:
     store = Store(disk, owner, schema, mode, bounds)
     try:
-        disk.lock(LOCK)
+        disk.lock(LOCK_NAME)
     except BlockingIOError:
         raise StoreLocked from None
     except OSError as problem:
@@ -260,7 +280,7 @@
     aside: tuple[str, ...] = ()
     if not store.problem:
         try:
-            aside = store.take_up(found, now)
+            aside = store.resume(found, now)
         except OSError as problem:
             store.problem = problem.strerror or str(problem)
     return Opened(store, found, aside, store.problem)
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -97,7 +97,7 @@
 
 def forgets_its_list() -> None:
     put = writer.Writer.put
-    writer.Writer.put = lambda self, kept: put(self, structs.replace(kept, hosts=None))  # type: ignore[method-assign]
+    writer.Writer.put = lambda self, record: put(self, structs.replace(record, hosts=None))  # type: ignore[method-assign]
 
 
 def takes_everything_for_new() -> None:
@@ -107,10 +107,10 @@
 def makes_a_list_up() -> None:
     put = writer.Writer.put
 
-    def planted(self: writer.Writer, kept: memory.Kept) -> None:
-        if kept.hosts is not None:
-            kept = structs.replace(kept, hosts=structs.replace(kept.hosts, seq=kept.hosts.seq + 1000))
-        put(self, kept)
+    def planted(self: writer.Writer, record: memory.StateRecord) -> None:
+        if record.hosts is not None:
+            record = structs.replace(record, hosts=structs.replace(record.hosts, seq=record.hosts.seq + 1000))
+        put(self, record)
 
     writer.Writer.put = planted  # type: ignore[method-assign]
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -20,7 +20,16 @@
 from sprucenotch import api
 from sprucenotch.node.config import HostList
 from sprucenotch.recovery import predecessor
-from sprucenotch.recovery.memory import FORMAT, VERIFIED, Kept, age, back, fold, merged, recall
+from sprucenotch.recovery.memory import (
+    FORMAT,
+    MAX_VERIFIED_AGE,
+    StateRecord,
+    age,
+    earlier_by,
+    fold,
+    merge,
+    recover,
+)
 from sprucenotch.recovery.service import SCHEMA
 from sprucenotch.recovery.writer import Writer
 from sprucenotch.rig import plan
@@ -39,13 +48,13 @@
 LISTS = st.none() | st.builds(HostList, st.integers(0, 9), st.just(True), st.just(()))
 LEARNED = api.Learned((), (), {}, (), 7.0, 0.0, 1.0, 2.0)
 KEPT = st.builds(
-    Kept, st.sampled_from((FORMAT, FORMAT, FORMAT, 2)), MOMENTS, st.none() | MOMENTS, LISTS,
+    StateRecord, st.sampled_from((FORMAT, FORMAT, FORMAT, 2)), MOMENTS, st.none() | MOMENTS, LISTS,
     st.none() | st.just(LEARNED),
 )  # fmt: skip
 
 
-def kept(at: Moment = NOW, seq: int | None = None) -> Kept:
-    return Kept(FORMAT, at, at, None if seq is None else HostList(seq, True, ()), LEARNED)
+def kept(at: Moment = NOW, seq: int | None = None) -> StateRecord:
+    return StateRecord(FORMAT, at, at, None if seq is None else HostList(seq, True, ()), LEARNED)
 
 
 # ---- ages
@@ -62,15 +71,17 @@
 
 
 @given(KEPT, KEPT, KEPT)
-def test_records_put_together_say_the_same_in_any_grouping(a: Kept, b: Kept, c: Kept) -> None:
-    assert merged(merged(a, b), c) == merged(a, merged(b, c))
+def test_records_put_together_say_the_same_in_any_grouping(
+    a: StateRecord, b: StateRecord, c: StateRecord
+) -> None:
+    assert merge(merge(a, b), c) == merge(a, merge(b, c))
 
 
 @given(st.lists(KEPT, max_size=6), st.integers(0, 10**19))
 def test_nothing_older_than_its_bound_and_nothing_from_the_future_is_taken(
-    records: list[Kept], oldest: int
+    records: list[StateRecord], oldest: int
 ) -> None:
-    found, left = recall(records, NOW, oldest)
+    found, left = recover(records, NOW, oldest)
     assert found.hosts is None or 0 <= found.list_age <= oldest
     assert found.learned is None or 0 <= found.learned_age <= oldest
     sound = [one for one in records if one.format == FORMAT and age(one.at, NOW) is not None]
@@ -83,7 +94,7 @@
 
 
 def writer(disk: Volume) -> Writer:
-    def opens() -> Opened[Kept]:
+    def opens() -> Opened[StateRecord]:
         return open_store(disk, OWNER, SCHEMA, NOW.wall, "always")
 
     made = Writer(opens, 0.01, lambda: NOW)
@@ -91,7 +102,7 @@
     return made
 
 
-def state(disk: Volume) -> Kept | None:
+def state(disk: Volume) -> StateRecord | None:
     disk.unlock()
     return fold(open_store(disk, OWNER, SCHEMA, NOW.wall).found.records, NOW)[0]
 
@@ -99,16 +110,16 @@
 def test_what_the_process_before_kept_stays_until_the_next_one_knows_better() -> None:
     disk = Volume()
     first = writer(disk)
-    first.put(kept(back(NOW, 5), seq=41))
+    first.put(kept(earlier_by(NOW, 5), seq=41))
     assert first.close(9)
     disk.unlock()
     second = writer(disk)
     for _ in range(60):  # over several compactions
-        second.put(msgspec.structs.replace(kept(back(NOW, 4)), confirmed=None))
+        second.put(msgspec.structs.replace(kept(earlier_by(NOW, 4)), confirmed=None))
     assert second.close(9)
     found = state(disk)
     assert found is not None and found.hosts is not None and found.hosts.seq == 41
-    assert found.confirmed == back(NOW, 5) and found.at == back(NOW, 4)
+    assert found.confirmed == earlier_by(NOW, 5) and found.at == earlier_by(NOW, 4)
 
 
 def test_a_successor_waits_for_the_lock_beside_its_work_and_then_has_all() -> None:
@@ -116,7 +127,7 @@
     disk.lock("lock")
     tried = threading.Event()
 
-    def opens() -> Opened[Kept]:
+    def opens() -> Opened[StateRecord]:
         if not freed.is_set():
             tried.set()
             raise StoreLocked
@@ -157,10 +168,10 @@
 # ---- the process before
 
 
-async def called(script: Any) -> predecessor.Told:
+async def called(script: Any) -> predecessor.HandoverResult:
     async with endpoint(script) as old:
         host, _, port = old.dial.rpartition(":")
-        return await predecessor.by_call((host, int(port)))
+        return await predecessor.call_predecessor((host, int(port)))
 
 
 def test_a_call_brings_what_the_process_before_says_or_a_reason_and_never_waits() -> None:
@@ -193,22 +204,22 @@
             (hung, "no answer"),
         ):  # fmt: skip
             told = await called(script)
-            assert not told.records and why in told.why_not[0], script
-        gone = await predecessor.by_call(("127.0.0.1", 9))
-        assert not gone.records and gone.why_not
+            assert not told.records and why in told.problems[0], script
+        gone = await predecessor.call_predecessor(("127.0.0.1", 9))
+        assert not gone.records and gone.problems
 
     run(all_of_them())
 
 
 def test_a_disk_that_hangs_at_the_start_is_not_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(predecessor, "READ_WITHIN", 0.05)
+    monkeypatch.setattr(predecessor, "READ_TIMEOUT", 0.05)
     stuck = threading.Event()
     disk = Volume(sleep=lambda seconds: bool(stuck.wait(60)))  # type: ignore[arg-type]
     disk.slow = 1.0
 
     async def read() -> None:
-        told = await predecessor.by_folder(disk, OWNER, SCHEMA, NOW.wall)
-        assert told.why_not == ("the disk does not answer",)
+        told = await predecessor.read_folder(disk, OWNER, SCHEMA, NOW.wall)
+        assert told.problems == ("the disk does not answer",)
 
     run(read())
     stuck.set()
@@ -243,7 +254,7 @@
     for n in range(len(hows)):
         lines = map(json.loads, play.logs[f"sidecar-{n}.1"].splitlines())
         [said] = [line for line in lines if line["event"] == "recalled"]
-        assert said["verified"] and said["learned"] and said["list_age_ms"] * 10**6 <= VERIFIED
+        assert said["verified"] and said["learned"] and said["list_age_ms"] * 10**6 <= MAX_VERIFIED_AGE
     assert not list(tmp_path.glob("*.state")) or kind == "folder"
 
 
@@ -281,7 +292,7 @@
         assert store is not None
         store._fail(OSError(28, "No space left on device"))
         keeps.put(kept(seq=2))
-        wait_until(lambda store=store: store.not_kept > 0)  # type: ignore[misc]
+        wait_until(lambda store=store: store.dropped_records > 0)  # type: ignore[misc]
         disk.failing = set()
         keeps.put(kept(seq=3))
         wait_until(lambda keeps=keeps: not keeps.problem)  # type: ignore[misc]
@@ -335,7 +346,7 @@
     disk.read = fails_at_first  # type: ignore[method-assign]
 
     async def test() -> None:
-        told = await predecessor.by_folder(disk, OWNER, SCHEMA, NOW.wall)
-        assert not told.why_not and told.records
+        told = await predecessor.read_folder(disk, OWNER, SCHEMA, NOW.wall)
+        assert not told.problems and told.records
 
     run(test())
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,7 @@
 from sprucenotch.rig.cuts import FORGOTTEN, MODES, explore
 from sprucenotch.rig.volume import Volume
 from sprucenotch.seams.disk import RealDisk
-from sprucenotch.store.frame import FORMAT, PREAMBLE, Header, begin, encode
+from sprucenotch.store.frame import FORMAT, PREAMBLE, Header, encode, file_start
 from sprucenotch.store.reading import Owner, Schema, read
 from sprucenotch.store.store import Bounds, Store, StoreLocked, open_store
 from tests.test_command_line import typed
@@ -89,15 +89,15 @@
     "newer format": PREAMBLE.pack(b"SPRN", FORMAT + 1),
     "no store file": b"something else entirely",
     "torn": b"SP",
-    "another owner": begin(header(owner="sidecar-1"), 0),
-    "another deployment": begin(header(deployment="other"), 0),
-    "newer schema": begin(header(schema=3), 0),
-    "unknown schema": begin(header(schema=0), 0),
-    "from the future": begin(header(at=NOW + 3600 * 10**9), 0),
-    "too old": begin(header(at=0), 0),
-    "hole": begin(header(), 5),
-    "record": begin(header(), 0) + encode(1, b"\xc1"),
-    "checksum": begin(header(), 0)[:-1] + b"\xff",
+    "another owner": file_start(header(owner="sidecar-1"), 0),
+    "another deployment": file_start(header(deployment="other"), 0),
+    "newer schema": file_start(header(schema=3), 0),
+    "unknown schema": file_start(header(schema=0), 0),
+    "from the future": file_start(header(at=NOW + 3600 * 10**9), 0),
+    "too old": file_start(header(at=0), 0),
+    "hole": file_start(header(), 5),
+    "record": file_start(header(), 0) + encode(1, b"\xc1"),
+    "checksum": file_start(header(), 0)[:-1] + b"\xff",
 }
 
 
@@ -116,7 +116,7 @@
 
 def test_older_records_are_taken_up_and_the_next_compaction_writes_them_anew() -> None:
     disk = Volume()
-    disk.open("journal.1").write(begin(header(schema=1), 0) + encode(1, b"41") + encode(2, b"42"))
+    disk.open("journal.1").write(file_start(header(schema=1), 0) + encode(1, b"41") + encode(2, b"42"))
     opened = open_store(disk, OWNER, SCHEMA, NOW)
     assert opened.found.records == (41, 42) and not opened.found.refused
     for _ in opened.store.compact(opened.found.records, NOW):
@@ -131,7 +131,7 @@
     disk.failing = {trouble}
     opened = open_store(disk, OWNER, SCHEMA, NOW)
     opened.store.append(3)
-    assert opened.problem == "Input/output error" and opened.store.not_kept == 1
+    assert opened.problem == "Input/output error" and opened.store.dropped_records == 1
     assert opened.found.records == (() if trouble == "names" else (1, 2))
 
 
@@ -141,10 +141,10 @@
     disk.room = 100
     for value in range(10):
         opened.store.append(value)
-    assert opened.store.problem == "No space left on device" and opened.store.not_kept > 0
+    assert opened.store.problem == "No space left on device" and opened.store.dropped_records > 0
     disk.crash(1)
     found = open_store(disk, OWNER, SCHEMA, NOW).found.records
-    assert found == tuple(range(10 - opened.store.not_kept))
+    assert found == tuple(range(10 - opened.store.dropped_records))
 
 
 def test_there_is_one_writer_and_a_real_folder_with_strange_things_in_it_is_started_from(
