--- a/tests/planted.py
+++ b/tests/planted.py
@@ -1,4 +1,4 @@
-"""`python -m tests.planted FAULT`: a sidecar with a deliberate fault, for the rig to find."""
+"""`python -m tests.planted FAULT`: a sidecar with a deliberate fault that the rig must detect."""
 
 from __future__ import annotations
 
@@ -61,8 +61,8 @@
     figures = Telemetry.figures
 
     def planted(self: Telemetry, known: int, skipped: int) -> dict[str, Any]:
-        told = figures(self, known, skipped)
-        return told | {"passed": {name: count + 1 for name, count in told["passed"].items()}}
+        reported = figures(self, known, skipped)
+        return reported | {"passed": {name: count + 1 for name, count in reported["passed"].items()}}
 
     Telemetry.figures = planted  # type: ignore[method-assign]
 
@@ -119,7 +119,7 @@
     RecordedFile.sync = lambda self: None  # type: ignore[method-assign]
 
 
-# Those that only a start after another process shows.
+# Faults that show only at the start of a successor.
 AT_STARTS: dict[str, Callable[[], None]] = {
     "forgets its list": forgets_its_list,
     "takes everything for new": takes_everything_for_new,
--- a/tests/test_failing_files.py
+++ b/tests/test_failing_files.py
@@ -1,4 +1,4 @@
-"""Files of the machine that cannot be opened for a moment: the start, the figures and the metrics go on."""
+"""System files that temporarily cannot be opened: start, figures and metrics still work."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def no_files(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """No file of the kernel can be opened or listed; which were asked for."""
+    """Make all files in /proc fail to open or list; return the paths that were requested."""
     asked: list[str] = []
     original = builtins.open
 
@@ -40,24 +40,24 @@
     return asked
 
 
-def test_memory_is_told_by_the_kernels_count_where_its_file_cannot_be_opened(no_files: list[str]) -> None:
+def test_own_memory_falls_back_to_peak_when_file_cannot_be_opened(no_files: list[str]) -> None:
     resident, own = standing.own_memory()
     assert no_files and 1_000_000 < own <= resident
 
 
-def test_a_sidecar_starts_and_tells_its_metrics_without_the_kernels_files(no_files: list[str]) -> None:
+def test_sidecar_starts_and_serves_metrics_without_kernel_files(no_files: list[str]) -> None:
     async def test() -> None:
         async with sidecar(dead_dial()) as node, managed(node) as operators:
             code, body = await operators.get("/metrics")
             assert code == 200 and b"sprucenotch_resident_memory_bytes" in body
-            assert b"sprucenotch_open_descriptors" not in body  # unknown at the moment
+            assert b"sprucenotch_open_descriptors" not in body  # unknown while it fails
 
     run(test())
     assert "/proc/self/fd" in no_files
 
 
-def test_metrics_that_cannot_be_made_for_a_moment_are_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Their module is loaded with the first call, which needs a descriptor."""
+def test_metrics_call_gets_503_when_rendering_fails_temporarily(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The metrics module is imported with the first call, which needs a descriptor."""
 
     async def test() -> None:
         async with sidecar(dead_dial()) as node:
@@ -73,7 +73,7 @@
     run(test())
 
 
-def test_the_boot_is_read_once_and_again_after_a_failure(
+def test_boot_id_is_cached_and_read_again_after_failure(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     monkeypatch.setattr(clock, "_boot", "")
@@ -87,10 +87,10 @@
         assert clock.moment(clock.Clock()).boot == first.boot
 
 
-def test_a_line_of_the_log_that_cannot_be_written_is_lost_and_counted(
+def test_unwritable_log_line_is_dropped_and_counted(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The standard handler prints a trace for each, on the same full disk."""
+    """The standard handler would print a traceback for each to the same full disk."""
     monkeypatch.setattr(LogHandler, "lost", 0)
     stream = io.StringIO()
     stream.close()
@@ -100,7 +100,7 @@
 
 
 class FailingPoll:
-    """Of a socket: the kernel has no memory for it at the moment."""
+    """A poll object whose kernel call fails for lack of memory."""
 
     def poll(self, timeout: float) -> list[tuple[int, int]]:
         raise OSError(errno.ENOMEM, "planted")
@@ -109,10 +109,10 @@
         pass
 
 
-def test_a_socket_that_cannot_be_asked_for_the_moment_costs_no_request(
+def test_failing_socket_poll_costs_no_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nobody counts as gone, nothing is closed as unused, and a kept connection is not used again."""
+    """No client counts as gone, no connection is closed as unused, and an idle connection is not reused."""
     monkeypatch.setattr("select.poll", FailingPoll)
 
     async def test() -> None:
@@ -122,6 +122,6 @@
                 assert (await client.ask(request()))[0] == 200
             [connection] = node.frontend._connections
             assert not connection.left and connection.connected()
-            assert served.connections >= 3  # and perhaps one opened beside, while others rest
+            assert served.connections >= 3  # possibly one more, opened in the background
 
     run(test())
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The second listener, and the truth of its figures."""
+"""The management listener, and the correctness of its figures."""
 
 from __future__ import annotations
 
@@ -33,10 +33,12 @@
     status,
 )
 
-CALLERS = 4
+MAX_CALLERS = 4
 
 
 class Operators:
+    """A client of the management listener."""
+
     def __init__(self, port: int) -> None:
         self.port = port
 
@@ -44,7 +46,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def call(self, raw: bytes) -> tuple[int, bytes]:
-        """The status and body of the answer, after which the connection ends."""
+        """Return the status and body of the answer; the connection is closed after it."""
         reader, writer = await self.connect()
         writer.write(raw)
         head, _, body = (await reader.read()).partition(b"\r\n\r\n")
@@ -57,8 +59,8 @@
     async def figures(self) -> dict[str, Any]:
         code, body = await self.get("/api/telemetry")
         assert code == 200
-        told: dict[str, Any] = json.loads(body)
-        return told
+        figures: dict[str, Any] = json.loads(body)
+        return figures
 
 
 @contextlib.asynccontextmanager
@@ -67,7 +69,7 @@
         lambda: node.host.standing.ready() if node.frontend.ready else "",
         node.host.standing.figures,
         lambda: metrics.render(node.host.standing, node.host.budget),
-        CALLERS,
+        MAX_CALLERS,
     )
     listener = await listening(await bound(("127.0.0.1", 0)))
     management.serve(listener, node.host.count)
@@ -77,13 +79,13 @@
         await management.close()
 
 
-def test_ready_needs_a_listener_and_a_list_and_ends_with_the_drain() -> None:
+def test_ready_requires_listener_and_list_and_ends_with_drain() -> None:
     async def test() -> None:
         async with sidecar() as node, managed(node) as operators:
             assert (await operators.get("/api/ready"))[0] == 503
-            told = {"seq": 2, "whole": True, "hosts": [entry("s-0", dead_dial())]}
-            node.host.learn(config.host_list(told, node.config.names), api.ListKind.FULL)
-            assert (await operators.get("/api/ready"))[0] == 503  # no client can come yet
+            hosts = {"seq": 2, "whole": True, "hosts": [entry("s-0", dead_dial())]}
+            node.host.learn(config.host_list(hosts, node.config.names), api.ListKind.FULL)
+            assert (await operators.get("/api/ready"))[0] == 503  # not listening yet
             node.frontend.listening = True
             assert await operators.get("/api/ready") == (200, b"ready\n")
             assert b"list_age_seconds" not in (await operators.get("/metrics"))[1]
@@ -97,7 +99,7 @@
     run(test())
 
 
-def test_a_last_list_alone_makes_ready_only_after_a_while() -> None:
+def test_cached_list_makes_ready_only_after_start_deadline() -> None:
     async def test() -> None:
         async with sidecar(dead_dial()) as node:
             node.frontend.listening = True
@@ -111,7 +113,7 @@
 
 
 @pytest.mark.parametrize("whole", [False, True])
-def test_a_list_that_discovery_finds_the_newest_makes_ready_at_once(whole: bool) -> None:
+def test_list_confirmed_by_discovery_makes_ready_at_once(whole: bool) -> None:
     async def test() -> None:
         async with sidecar(dead_dial()) as node:
             node.frontend.listening = True
@@ -133,7 +135,7 @@
         (b"GET /api/ready?x=1 HTTP/1.0\r\n\r\n", 503),
     ],
 )
-def test_calls_that_are_not_served_get_a_clear_no(raw: bytes, code: int) -> None:
+def test_unsupported_call_gets_error_status(raw: bytes, code: int) -> None:
     async def test() -> None:
         async with sidecar() as node, managed(node) as operators:
             assert (await operators.call(raw))[0] == code
@@ -141,10 +143,10 @@
     run(test())
 
 
-def test_callers_that_finish_no_call_delay_nobody_and_are_closed() -> None:
+def test_callers_without_complete_call_are_closed_and_delay_no_other() -> None:
     async def test() -> None:
         async with sidecar() as node, managed(node) as operators:
-            unfinished = [await operators.connect() for _ in range(3 * CALLERS)]
+            unfinished = [await operators.connect() for _ in range(3 * MAX_CALLERS)]
             for _, writer in unfinished:
                 writer.write(b"GET /api/re")
             assert (await operators.get("/api/telemetry"))[0] == 200
@@ -155,7 +157,7 @@
     run(test())
 
 
-def test_figures_count_each_request_once_by_class_and_each_attempt_written() -> None:
+def test_telemetry_counts_each_request_and_attempt_once() -> None:
     answers = {b"1": ok(), b"2": status(500), b"3": status(503, b"Srv-Declined: 1")}
 
     async def script(seen: Seen) -> bytes:
@@ -163,30 +165,30 @@
 
     async def test() -> None:
         async with endpoint(script) as served, sidecar(served.dial) as node, managed(node) as operators:
-            told = await operators.figures()
+            figures = await operators.figures()
             none = {"read": 0, "post": 0}
-            assert told == {
+            assert figures == {
                 "passed": none, "dropped": none, "bad_gateway": none, "upstream_tries": 0, "in_progress": 0,
                 "known_quote_engines": 1, "skipped_quote_engines": 0, "loads": 0, "load_errors": 0,
             }  # fmt: skip
             client = await node.client()
             codes = [(await client.ask(request("post", extra=b"X-N: %d\r\n" % n)))[0] for n in (1, 2, 3)]
             assert codes == [200, 502, 503]
-            assert (await client.ask(request("odd")))[0] == 400  # nobody's class
-            told = await operators.figures()
-            assert [told[name]["post"] for name in ("passed", "bad_gateway", "dropped")] == [1, 1, 1]
-            assert told["passed"]["read"] == told["in_progress"] == 0 and "odd" not in told["passed"]
-            assert told["upstream_tries"] == 3 == len(served.seen)
+            assert (await client.ask(request("odd")))[0] == 400  # an unknown class
+            figures = await operators.figures()
+            assert [figures[name]["post"] for name in ("passed", "bad_gateway", "dropped")] == [1, 1, 1]
+            assert figures["passed"]["read"] == figures["in_progress"] == 0 and "odd" not in figures["passed"]
+            assert figures["upstream_tries"] == 3 == len(served.seen)
 
     run(test())
 
 
-def test_neither_probes_nor_failed_connects_are_tries() -> None:
+def test_probes_and_failed_connects_are_not_counted_as_tries() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(dead_dial()) as node:
             assert (await (await node.client()).ask(request("post")))[0] == 503
-            told = {"seq": 2, "whole": True, "hosts": [entry("s-1", served.dial)]}
-            node.host.learn(config.host_list(told, node.config.names), api.ListKind.FULL)
+            hosts = {"seq": 2, "whole": True, "hosts": [entry("s-1", served.dial)]}
+            node.host.learn(config.host_list(hosts, node.config.names), api.ListKind.FULL)
             node.host._probe(api.Probe(config.endpoint_id("s-1")))
             await node.event(lambda e: isinstance(e, api.Probed))
             assert node.host.standing.figures()["upstream_tries"] == 0
@@ -194,7 +196,7 @@
     run(test())
 
 
-def test_what_is_in_progress_comes_back_to_none_when_the_client_leaves() -> None:
+def test_in_progress_returns_to_zero_when_client_leaves() -> None:
     async def test() -> None:
         async with endpoint(never) as served, sidecar(served.dial) as node:
             client = await node.client()
@@ -210,11 +212,11 @@
     run(test())
 
 
-def test_a_draining_or_ejected_engine_is_skipped_as_long_as_others_stand_in() -> None:
+def test_draining_or_ejected_engine_counts_as_skipped() -> None:
     async def test() -> None:
         async with sidecar(*(dead_dial() for _ in range(4))) as node:
-            told = {"seq": 2, "whole": False, "hosts": [entry("s-3", "127.0.0.1:9", "draining")]}
-            node.host.learn(config.host_list(told, node.config.names), api.ListKind.DELTA)
+            hosts = {"seq": 2, "whole": False, "hosts": [entry("s-3", "127.0.0.1:9", "draining")]}
+            node.host.learn(config.host_list(hosts, node.config.names), api.ListKind.DELTA)
             balancer = node.host._balancer
             balancer.engines.members[config.endpoint_id("s-0")].out_until = node.host.now() + 10**12
             balancer.engines.refill(node.host.now())
@@ -224,7 +226,7 @@
     run(test())
 
 
-def test_the_status_line_tells_the_growth_of_the_same_counters() -> None:
+def test_growth_returns_increase_of_counters() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             client = await node.client()
@@ -237,11 +239,11 @@
     run(test())
 
 
-def test_the_address_comes_from_the_file_else_the_environment_and_must_be_one(tmp_path: Any) -> None:
+def test_management_address_comes_from_file_or_environment(tmp_path: Any) -> None:
     file = tmp_path / "config.json"
 
-    def mgmt(environment: dict[str, str], **told: Any) -> config.Address | None:
-        file.write_text(json.dumps(configuration("127.0.0.1:9", **told)))
+    def mgmt(environment: dict[str, str], **keys: Any) -> config.Address | None:
+        file.write_text(json.dumps(configuration("127.0.0.1:9", **keys)))
         return config.load({"PROXY_CONFIG": str(file)} | environment).mgmt
 
     assert mgmt({}) is None
@@ -253,7 +255,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "granted", "counted"),
+    ("configured", "granted", "expected"),
     [
         (4096, 8192, 4096),
         (4096, 2048, 2048),
@@ -263,24 +265,24 @@
         (-1, 512, 512),
     ],
 )
-def test_descriptors_are_those_told_within_what_the_kernel_grants(
-    told: int | None, granted: int, counted: int, monkeypatch: pytest.MonkeyPatch
+def test_descriptor_limit_is_configured_one_capped_by_kernel(
+    configured: int | None, granted: int, expected: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (granted, granted))
-    assert config.parse(configuration(limits={"sockets": told})).sockets == counted
+    assert config.parse(configuration(limits={"sockets": configured})).sockets == expected
 
 
-def test_a_deployment_that_gives_4096_descriptors_has_a_connection_to_each_of_1024_servers(
+def test_4096_descriptors_allow_connections_to_1024_servers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (4096, 4096))
-    told = config.parse(configuration(limits={"sockets": 4096}))
-    assert told.upstream_most >= 1024 and told.clients_most >= 1024
+    parsed = config.parse(configuration(limits={"sockets": 4096}))
+    assert parsed.upstream_most >= 1024 and parsed.clients_most >= 1024
 
 
-def test_descriptors_suffice_for_two_processes_side_by_side() -> None:
+def test_descriptors_suffice_for_two_processes_during_hand_over() -> None:
     for sockets in (256, 384, 1024, 4096):
-        told = config.parse(configuration(limits={"sockets": sockets}) | {"settings": SETTINGS})
-        apart = told.upstream_most + told.callers_most + config.OWN_SOCKETS
-        assert told.clients_most + 2 * apart <= told.sockets
-        assert told.upstream_most >= told.sockets // 6
+        parsed = config.parse(configuration(limits={"sockets": sockets}) | {"settings": SETTINGS})
+        apart = parsed.upstream_most + parsed.callers_most + config.OWN_SOCKETS
+        assert parsed.clients_most + 2 * apart <= parsed.sockets
+        assert parsed.upstream_most >= parsed.sockets // 6
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: configuration, signals, exit."""
+"""The program as a process: configuration, signals, exit."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 async def connected(listen: str) -> Client:
-    """A client of a sidecar that may still be starting."""
+    """Connect to a sidecar that may still be starting."""
     host, _, port = listen.rpartition(":")
     while True:
         try:
@@ -42,7 +42,7 @@
             await asyncio.sleep(0.01)
 
 
-def test_a_stopped_sidecar_still_accepts_and_finishes_what_it_took(tmp_path: Path) -> None:
+def test_stopped_sidecar_accepts_and_completes_requests(tmp_path: Path) -> None:
     async def test() -> None:
         go_on, all_here = asyncio.Event(), asyncio.Event()
         asked: list[Seen] = []
@@ -57,8 +57,8 @@
         async with endpoint(held) as served, endpoint(nothing_new) as discovery:
             listen = dead_dial()
             file = tmp_path / "config.json"
-            told = configuration(served.dial, listen=listen, discovery=discovery.dial)
-            file.write_text(json.dumps(told))
+            configured = configuration(served.dial, listen=listen, discovery=discovery.dial)
+            file.write_text(json.dumps(configured))
             process = await asyncio.create_subprocess_exec(
                 *COMMAND, env=os.environ | {"PROXY_CONFIG": str(file)}, cwd=ROOT
             )
@@ -68,14 +68,15 @@
             assert (await idle.ask(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
             before.writer.write(request("post"))
             await served.arrived.wait()
-            # Held still, it has the signal and the connection waiting, so no slow machine mixes them up.
+            # While it is stopped, signal and connection are both pending, so their order does not depend on
+            # timing.
             process.send_signal(signal.SIGSTOP)
             process.send_signal(signal.SIGTERM)
             after = await connected(listen)
             process.send_signal(signal.SIGCONT)
             after.writer.write(request("post"))
             await all_here.wait()
-            assert await idle.ended()  # the listener is closed by now
+            assert await idle.ended()  # after that the listener is closed
             go_on.set()
             for client in (before, after):
                 code, headers, body = await client.answer()
@@ -86,16 +87,16 @@
     run(test())
 
 
-def test_a_stopped_sidecar_closes_idle_connections_while_new_ones_are_still_taken(tmp_path: Path) -> None:
-    """A request that crosses the close comes again on a new connection, here or at a successor; and none
-    comes so late on the old one that its answer cannot be whole before the process is killed."""
+def test_stopped_sidecar_closes_idle_connections_and_accepts_new_ones(tmp_path: Path) -> None:
+    """A client whose request crosses the close repeats it on a new connection, here or at a successor. No
+    request arrives on the old connection so late that its answer is cut off when the process is killed."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, endpoint(nothing_new) as discovery:
             listen = dead_dial()
             file = tmp_path / "config.json"
-            told = configuration(served.dial, listen=listen, discovery=discovery.dial)
-            file.write_text(json.dumps(told))
+            configured = configuration(served.dial, listen=listen, discovery=discovery.dial)
+            file.write_text(json.dumps(configured))
             process = await asyncio.create_subprocess_exec(
                 *COMMAND, env=os.environ | {"PROXY_CONFIG": str(file)}, cwd=ROOT
             )
@@ -112,8 +113,8 @@
     run(test())
 
 
-def test_a_stopped_sidecar_passes_a_long_answer_on_to_its_end(tmp_path: Path) -> None:
-    """However long after the deadlines: an end by a time limit would cut it off."""
+def test_stopped_sidecar_completes_long_answer(tmp_path: Path) -> None:
+    """An answer may last far beyond the deadlines; a time limit on the drain would cut it off."""
     size = 300_000
 
     async def test() -> None:
@@ -133,10 +134,10 @@
         listen, file = dead_dial(), tmp_path / "config.json"
         brief = [c | {"AimNs": 50_000_000, "HardLimitNs": 100_000_000} for c in SETTINGS["Categories"]]
         async with endpoint(nothing_new) as discovery:
-            told = configuration(
+            configured = configuration(
                 dial, listen=listen, discovery=discovery.dial, settings=SETTINGS | {"Categories": brief}
             )
-            file.write_text(json.dumps(told))
+            file.write_text(json.dumps(configured))
             process = await asyncio.create_subprocess_exec(
                 *COMMAND, env=os.environ | {"PROXY_CONFIG": str(file)}, cwd=ROOT
             )
@@ -145,7 +146,7 @@
         client.writer.write(request())
         await half.wait()
         process.terminate()
-        assert await idle.ended()  # it accepts no more
+        assert await idle.ended()  # it stopped accepting
         with pytest.raises(asyncio.TimeoutError):  # far beyond the longest deadline
             await asyncio.wait_for(process.wait(), 1.0)
         go_on.set()
@@ -157,7 +158,7 @@
 
 
 async def ready(mgmt: str) -> bool:
-    """Whether a process, which may still be starting, says that it is ready."""
+    """Whether a process, which may still be starting, reports that it is ready."""
     caller = await connected(mgmt)
     caller.writer.write(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     answer = await caller.reader.read()
@@ -165,7 +166,7 @@
     return answer.startswith(b"HTTP/1.1 200 ")
 
 
-def test_a_successor_beside_it_gets_the_new_connections_and_nothing_taken_is_lost(tmp_path: Path) -> None:
+def test_successor_gets_new_connections_and_no_accepted_request_is_lost(tmp_path: Path) -> None:
     async def test() -> None:
         go_on, here = asyncio.Event(), asyncio.Event()
 
@@ -179,26 +180,26 @@
 
         async with endpoint(held) as served, endpoint(lists) as discovery:
             listen, old_mgmt, new_mgmt = dead_dial(), dead_dial(), dead_dial()
-            told = configuration(served.dial, listen=listen, discovery=discovery.dial)
-            known = told["known"]
+            configured = configuration(served.dial, listen=listen, discovery=discovery.dial)
+            known = configured["known"]
             processes = []
             for mgmt in (old_mgmt, new_mgmt):
                 file = tmp_path / f"{mgmt}.json"
-                file.write_text(json.dumps(told | {"mgmt": mgmt}))
+                file.write_text(json.dumps(configured | {"mgmt": mgmt}))
                 environment = os.environ | {"PROXY_CONFIG": str(file)}
                 processes.append(await asyncio.create_subprocess_exec(*COMMAND, env=environment, cwd=ROOT))
                 while not await ready(mgmt):
                     await asyncio.sleep(0.01)
                 if mgmt == old_mgmt:
-                    taken, unheard = await connected(listen), await connected(listen)
-                    taken.writer.write(request("post"))
+                    accepted, unread = await connected(listen), await connected(listen)
+                    accepted.writer.write(request("post"))
                     await here.wait()
             old, new = processes
             old.send_signal(signal.SIGTERM)
             while await ready(old_mgmt):
                 await asyncio.sleep(0.01)
             assert await ready(new_mgmt)
-            # Held still, the old one can take nothing: all that connects now is the successor's.
+            # The old process is stopped, so all new connections go to the successor.
             old.send_signal(signal.SIGSTOP)
             later = [await connected(listen) for _ in range(16)]
             for client in later:
@@ -206,9 +207,10 @@
             go_on.set()
             assert [(await client.answer())[0] for client in later] == [200] * len(later)
             old.send_signal(signal.SIGCONT)
-            assert (await taken.answer())[2] == b"done" and await taken.ended()
-            # What was accepted and not heard yet is heard: here, and its connection ends with the answer.
-            assert (await unheard.ask(request("post")))[1][b"connection"] == b"close"
+            assert (await accepted.answer())[2] == b"done" and await accepted.ended()
+            # A request on a connection accepted earlier is still served, and the connection closed after the
+            # answer.
+            assert (await unread.ask(request("post")))[1][b"connection"] == b"close"
             assert await old.wait() == 0
             new.terminate()
             for client in later:
@@ -218,20 +220,20 @@
     run(test())
 
 
-def test_a_successor_beside_it_starts_where_sidecars_have_an_address_for_their_peers(tmp_path: Path) -> None:
-    """The process before still holds that address; it is the successor's once that one is told to stop."""
+def test_successor_starts_while_peer_address_is_in_use(tmp_path: Path) -> None:
+    """The previous process holds that address; the successor binds it once that process is stopped."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, endpoint(nothing_new) as discovery:
             peer_listen, old_mgmt, new_mgmt = dead_dial(), dead_dial(), dead_dial()
-            told = configuration(
+            configured = configuration(
                 served.dial, listen=dead_dial(), discovery=discovery.dial, peer_listen=peer_listen,
                 peers=[dead_dial(), peer_listen],
             )  # fmt: skip
             processes = []
             for mgmt in (old_mgmt, new_mgmt):
                 file = tmp_path / f"{mgmt}.json"
-                file.write_text(json.dumps(told | {"mgmt": mgmt}))
+                file.write_text(json.dumps(configured | {"mgmt": mgmt}))
                 environment = os.environ | {"PROXY_CONFIG": str(file)}
                 process = await asyncio.create_subprocess_exec(*COMMAND, env=environment, cwd=ROOT)
                 processes.append(process)
@@ -251,7 +253,7 @@
 
 
 def datagram_sockets(pid: int) -> int:
-    """How many datagram sockets that process holds."""
+    """Return the number of datagram sockets of a process."""
     lines = Path(f"/proc/{pid}/net/udp").read_text().splitlines()[1:]
     inodes = {line.split()[9] for line in lines}
     links = [os.readlink(f"/proc/{pid}/fd/{fd}") for fd in os.listdir(f"/proc/{pid}/fd")]
@@ -259,8 +261,8 @@
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-def test_a_process_takes_no_clients_before_discovery_has_answered_it(tmp_path: Path, mode: str) -> None:
-    """Its list may be stale, and what changed since may count as told already."""
+def test_process_accepts_no_clients_before_discovery_answers(tmp_path: Path, mode: str) -> None:
+    """Its list may be outdated, and it may already be bound by changes since then."""
 
     async def test() -> None:
         answers = asyncio.Event()
@@ -272,8 +274,10 @@
         async with endpoint(always_ok) as served, endpoint(late) as discovery:
             listen, file = dead_dial(), tmp_path / "config.json"
             settings = SETTINGS | {"Discovery": mode}
-            told = configuration(served.dial, listen=listen, discovery=discovery.dial, settings=settings)
-            file.write_text(json.dumps(told))
+            configured = configuration(
+                served.dial, listen=listen, discovery=discovery.dial, settings=settings
+            )
+            file.write_text(json.dumps(configured))
             process = await asyncio.create_subprocess_exec(
                 *COMMAND, env=os.environ | {"PROXY_CONFIG": str(file)}, cwd=ROOT
             )
@@ -290,12 +294,12 @@
     run(test())
 
 
-def test_a_process_that_is_stopped_before_it_is_ready_ends_at_once(tmp_path: Path) -> None:
+def test_process_stopped_before_ready_exits_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with endpoint(never) as discovery:
             file = tmp_path / "config.json"
-            told = configuration("127.0.0.1:9", listen=dead_dial(), discovery=discovery.dial)
-            file.write_text(json.dumps(told))
+            configured = configuration("127.0.0.1:9", listen=dead_dial(), discovery=discovery.dial)
+            file.write_text(json.dumps(configured))
             process = await asyncio.create_subprocess_exec(
                 *COMMAND, env=os.environ | {"PROXY_CONFIG": str(file)}, cwd=ROOT
             )
@@ -306,7 +310,7 @@
     run(test())
 
 
-def test_a_replaced_configuration_is_taken_up_on_sighup_without_a_break(tmp_path: Path) -> None:
+def test_sighup_applies_replaced_configuration_without_interruption(tmp_path: Path) -> None:
     async def test() -> None:
         async with (
             endpoint(always_ok) as served,
@@ -346,22 +350,22 @@
         ({"known": {"seq": 1, "hosts": [{}]}}, "known"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, change: dict[str, Any], said: str) -> None:
+def test_bad_configuration_is_reported_in_one_line(tmp_path: Path, change: dict[str, Any], said: str) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(configuration("127.0.0.1:9") | change))
-    assert said in complaint({"PROXY_CONFIG": str(file)})
+    assert said in error_line({"PROXY_CONFIG": str(file)})
 
 
-def test_a_missing_or_broken_file_is_one_plain_line(tmp_path: Path) -> None:
+def test_missing_or_broken_file_is_reported_in_one_line(tmp_path: Path) -> None:
     broken = tmp_path / "config.json"
     broken.write_text("{")
-    assert "PROXY_CONFIG is not set" in complaint({})
-    assert "No such file" in complaint({"PROXY_CONFIG": str(tmp_path / "none")})
-    assert "not JSON" in complaint({"PROXY_CONFIG": str(broken)})
+    assert "PROXY_CONFIG is not set" in error_line({})
+    assert "No such file" in error_line({"PROXY_CONFIG": str(tmp_path / "none")})
+    assert "not JSON" in error_line({"PROXY_CONFIG": str(broken)})
 
 
-def complaint(told: dict[str, str]) -> str:
-    environment = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")} | told
+def error_line(variables: dict[str, str]) -> str:
+    environment = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")} | variables
     done = subprocess.run(
         COMMAND, env=environment, cwd=ROOT, capture_output=True, text=True, check=False, timeout=60
     )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What one process leaves to the next: how old it is, who has it, that no start waits or falls for it."""
+"""State handed from one process to the next: its age, its writer, and starts with failing sources."""
 
 from __future__ import annotations
 
@@ -61,26 +61,22 @@
 
 
 @given(MOMENTS, MOMENTS, st.integers(-(10**18), 10**18))
-def test_an_age_is_never_too_small_whatever_the_wall_clock_does(then: Moment, now: Moment, jump: int) -> None:
+def test_age_is_never_too_small_for_any_wall_clock(then: Moment, now: Moment, jump: int) -> None:
     passed = age(then, now)
     if then.boot == now.boot:
         assert passed == (now.at - then.at if now.at >= then.at else None)
         assert passed == age(then, now._replace(wall=now.wall + jump))
     elif passed is not None:
-        assert passed >= now.at  # the boot lies in between
+        assert passed >= now.at  # at least the time since boot
 
 
 @given(KEPT, KEPT, KEPT)
-def test_records_put_together_say_the_same_in_any_grouping(
-    a: StateRecord, b: StateRecord, c: StateRecord
-) -> None:
+def test_merge_is_associative(a: StateRecord, b: StateRecord, c: StateRecord) -> None:
     assert merge(merge(a, b), c) == merge(a, merge(b, c))
 
 
 @given(st.lists(KEPT, max_size=6), st.integers(0, 10**19))
-def test_nothing_older_than_its_bound_and_nothing_from_the_future_is_taken(
-    records: list[StateRecord], oldest: int
-) -> None:
+def test_recover_rejects_old_and_future_records(records: list[StateRecord], oldest: int) -> None:
     found, left = recover(records, NOW, oldest)
     assert found.hosts is None or 0 <= found.list_age <= oldest
     assert found.learned is None or 0 <= found.learned_age <= oldest
@@ -90,7 +86,7 @@
         assert any(one.hosts == found.hosts for one in sound)
 
 
-# ---- the one that writes
+# ---- the writer
 
 
 def writer(disk: Volume) -> Writer:
@@ -107,14 +103,14 @@
     return fold(open_store(disk, OWNER, SCHEMA, NOW.wall).found.records, NOW)[0]
 
 
-def test_what_the_process_before_kept_stays_until_the_next_one_knows_better() -> None:
+def test_stored_list_survives_records_without_list() -> None:
     disk = Volume()
     first = writer(disk)
     first.put(kept(earlier_by(NOW, 5), seq=41))
     assert first.close(9)
     disk.unlock()
     second = writer(disk)
-    for _ in range(60):  # over several compactions
+    for _ in range(60):  # several compactions
         second.put(msgspec.structs.replace(kept(earlier_by(NOW, 4)), confirmed=None))
     assert second.close(9)
     found = state(disk)
@@ -122,7 +118,7 @@
     assert found.confirmed == earlier_by(NOW, 5) and found.at == earlier_by(NOW, 4)
 
 
-def test_a_successor_waits_for_the_lock_beside_its_work_and_then_has_all() -> None:
+def test_writer_waits_for_lock_in_background_and_then_stores_all() -> None:
     disk, freed = Volume(), threading.Event()
     disk.lock("lock")
     tried = threading.Event()
@@ -147,7 +143,7 @@
     assert found is not None and found.hosts is not None and found.hosts.seq == 2
 
 
-def test_a_disk_that_fails_is_told_and_one_that_hangs_holds_up_nobody() -> None:
+def test_failing_disk_is_reported_and_hanging_disk_delays_nothing() -> None:
     failing = Volume()
     broken = writer(failing)
     broken.put(kept(seq=1))
@@ -165,16 +161,16 @@
     stuck.set()
 
 
-# ---- the process before
+# ---- the previous process
 
 
-async def called(script: Any) -> predecessor.HandoverResult:
+async def call_result(script: Any) -> predecessor.HandoverResult:
     async with endpoint(script) as old:
         host, _, port = old.dial.rpartition(":")
         return await predecessor.call_predecessor((host, int(port)))
 
 
-def test_a_call_brings_what_the_process_before_says_or_a_reason_and_never_waits() -> None:
+def test_call_to_predecessor_returns_records_or_problem() -> None:
     whole = msgspec.msgpack.encode(kept(seq=3))
 
     async def says(request: Seen) -> bytes:
@@ -198,28 +194,28 @@
         return b""
 
     async def all_of_them() -> None:
-        assert (await called(says)).records == (kept(seq=3),)
+        assert (await call_result(says)).records == (kept(seq=3),)
         for script, why in (
             (earlier_version, "404"), (nonsense, "malformed"), (cut_short, "no answer"), (endless, "bytes"),
             (hung, "no answer"),
         ):  # fmt: skip
-            told = await called(script)
-            assert not told.records and why in told.problems[0], script
+            result = await call_result(script)
+            assert not result.records and why in result.problems[0], script
         gone = await predecessor.call_predecessor(("127.0.0.1", 9))
         assert not gone.records and gone.problems
 
     run(all_of_them())
 
 
-def test_a_disk_that_hangs_at_the_start_is_not_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_read_of_hanging_disk_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(predecessor, "READ_TIMEOUT", 0.05)
     stuck = threading.Event()
     disk = Volume(sleep=lambda seconds: bool(stuck.wait(60)))  # type: ignore[arg-type]
     disk.slow = 1.0
 
     async def read() -> None:
-        told = await predecessor.read_folder(disk, OWNER, SCHEMA, NOW.wall)
-        assert told.problems == ("the disk does not answer",)
+        result = await predecessor.read_folder(disk, OWNER, SCHEMA, NOW.wall)
+        assert result.problems == ("the disk does not answer",)
 
     run(read())
     stuck.set()
@@ -243,7 +239,7 @@
 
 
 @pytest.mark.parametrize(("kind", "hows"), [("folder", ("kill", "power", "upgrade")), ("call", ("upgrade",))])
-def test_a_process_that_starts_while_discovery_is_down_serves_by_what_was_handed_over(
+def test_process_started_while_discovery_is_down_serves_from_handed_over_state(
     kind: str, hows: tuple[str, ...], tmp_path: Path
 ) -> None:
     restarts = ", ".join(RESTART.format(n=n, how=how) for n, how in enumerate(hows))
@@ -258,7 +254,7 @@
     assert not list(tmp_path.glob("*.state")) or kind == "folder"
 
 
-def test_a_sidecar_without_state_loads_nothing_of_it() -> None:
+def test_sidecar_without_state_imports_no_recovery_modules() -> None:
     probe = "import sys, sprucenotch.node.serve; print(*sys.modules)"
     loaded = subprocess.run((sys.executable, "-c", probe), capture_output=True, text=True, check=True).stdout
     assert "sprucenotch.node.serve" in loaded
@@ -266,7 +262,7 @@
         assert part not in loaded
 
 
-# ---- a disk that fails for a while
+# ---- temporary disk failures
 
 
 def wait_until(reached: Callable[[], bool]) -> None:
@@ -277,10 +273,10 @@
     raise AssertionError("not reached")
 
 
-def test_what_comes_after_a_disk_has_failed_for_a_while_is_kept_again(
+def test_records_are_stored_again_after_disk_failure(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Writes, syncs or names that fail, as on a full disk; then it has room again."""
+    """Writes, syncs, renames or opens fail, as on a full disk; then there is space again."""
     monkeypatch.setattr("sprucenotch.recovery.writer.REOPEN_INTERVAL", 0.01, raising=False)
     for trouble in ("write", "sync", "rename", "open"):
         disk = Volume()
@@ -305,10 +301,10 @@
     raise OSError(24, "Too many open files")
 
 
-def test_a_disk_that_fails_as_it_is_opened_keeps_what_is_there_and_is_opened_again(
+def test_disk_failing_at_open_keeps_its_records_and_is_reopened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What could not be read must not be taken for nothing and written over."""
+    """Records that could not be read must not be taken for absent and overwritten."""
     monkeypatch.setattr("sprucenotch.recovery.writer.REOPEN_INTERVAL", 0.01, raising=False)
     for trouble in ("names", "descriptors", "open", "lock", "sync"):
         disk = Volume()
@@ -330,7 +326,7 @@
         assert found is not None and found.hosts is not None and found.hosts.seq == 41, trouble
 
 
-def test_a_folder_that_cannot_be_read_for_a_moment_is_recalled_all_the_same() -> None:
+def test_temporarily_unreadable_folder_is_read_after_retry() -> None:
     disk = Volume()
     first = writer(disk)
     first.put(kept(seq=41))
@@ -346,7 +342,7 @@
     disk.read = fails_at_first  # type: ignore[method-assign]
 
     async def test() -> None:
-        told = await predecessor.read_folder(disk, OWNER, SCHEMA, NOW.wall)
-        assert not told.problems and told.records
+        result = await predecessor.read_folder(disk, OWNER, SCHEMA, NOW.wall)
+        assert not result.problems and result.records
 
     run(test())
--- a/tests/test_rest_timer.py
+++ b/tests/test_rest_timer.py
@@ -1,4 +1,4 @@
-"""Attempts that find every kept connection resting: when they wait, how long, and when they open another."""
+"""Attempts while all idle connections are within their reuse delay: their wait, and spare connections."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 from tests.helpers import MS, SECOND
 from tests.sidecar import always_ok, configuration, endpoint, request, run, sidecar
 
-TOLD = config.parse(configuration("127.0.0.1:9"))
+CONFIG = config.parse(configuration("127.0.0.1:9"))
 
 
 @given(st.integers(0, 10**6 * SECOND), st.integers(0, REST))
-def test_it_never_comes_while_the_connection_rests(now: int, left: int) -> None:
-    """An attempt whose timer came early would find it resting, and open another connection."""
-    servers = Upstream(TOLD, Mock(), lambda: now, Mock())
-    pool, connection = Pool(TOLD.known.hosts[0]), Connection()
+def test_timer_never_fires_within_reuse_delay(now: int, left: int) -> None:
+    """With an early timer, an attempt could not reuse the connection yet and would open another one."""
+    servers = Upstream(CONFIG, Mock(), lambda: now, Mock())
+    pool, connection = Pool(CONFIG.known.hosts[0]), Connection()
     connection.rests_until = now + left
     pool.idle.append(connection)
     delay = servers.rests(pool)
-    # The loop counts from the millisecond that has begun, and rounds the delay to the nearest.
+    # The loop counts from the millisecond that has begun and rounds the delay to the nearest.
     due = math.floor(now / MS) + round(delay * 1000)
     assert due * MS >= connection.rests_until
 
 
 class Waits:
-    """A pool whose connections rest, and the tasks that are made for another one."""
+    """A pool with all connections within their reuse delay; counts the tasks that open another one."""
 
     def __init__(self) -> None:
         self.now, self.tasks = SECOND, 0
-        self.servers = Upstream(TOLD, Mock(create_task=self.task), lambda: self.now, Mock())
-        self.pool = Pool(TOLD.known.hosts[0])
+        self.servers = Upstream(CONFIG, Mock(create_task=self.task), lambda: self.now, Mock())
+        self.pool = Pool(CONFIG.known.hosts[0])
 
     def task(self, opening: Coroutine[None, None, None]) -> Mock:
         opening.close()
@@ -49,31 +49,31 @@
         return Mock()
 
     def wait(self, after: int) -> int:
-        """Another attempt waits; how many connections were opened so far."""
+        """Let another attempt wait, `after` ns later; return the number of connections opened so far."""
         self.now += after
         self.servers.note_reuse_wait(self.pool)
         return self.tasks
 
 
-def test_another_connection_is_opened_where_waits_follow_on_each_other_one_at_a_time() -> None:
+def test_frequent_waits_open_another_connection_one_at_a_time() -> None:
     waits = Waits()
     assert [waits.wait(0), waits.wait(SURPLUS_IDLE + 1), waits.wait(SURPLUS_IDLE)] == [0, 0, 1]
-    assert waits.wait(1) == 1  # the one that is coming up
+    assert waits.wait(1) == 1  # one is already being opened
     waits.pool.spare_task = None
     assert waits.wait(1) == 2
 
 
-def test_at_the_most_connections_no_other_is_opened() -> None:
+def test_no_connection_is_opened_at_the_limit() -> None:
     waits = Waits()
-    waits.servers._open = TOLD.upstream_most
+    waits.servers._open = CONFIG.upstream_most
     assert [waits.wait(0), waits.wait(1)] == [0, 0]
 
 
 @pytest.mark.parametrize("up", [True, False], ids=["comes up", "does not"])
-def test_a_request_waits_for_the_rest_and_the_next_one_has_the_connection_opened_beside(
+def test_request_waits_for_reuse_delay_and_next_one_uses_spare_connection(
     up: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first one's wait does not hang on the connection that comes up, or does not."""
+    """The wait of the first request does not depend on whether the other connection can be opened."""
     monkeypatch.setattr(upstream, "REST", 50 * MS)
 
     async def test() -> None:
@@ -90,7 +90,7 @@
             client = await node.client()
             assert (await client.ask(request()))[0] == 200
             [pool] = servers._pools.values()
-            pool.last_wait_at = node.host.now()  # an earlier one waited
+            pool.last_wait_at = node.host.now()  # an earlier attempt waited
             monkeypatch.setattr(servers, "connect", late)
             assert (await client.ask(request()))[0] == 200
             opening = pool.spare_task
--- a/tests/test_run_time_rules.py
+++ b/tests/test_run_time_rules.py
@@ -1,4 +1,4 @@
-"""Rules checked as the program runs: a way round the place that decides is counted, by rule, and told."""
+"""Rules checked at run time: each violation is counted by rule and logged."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 )
 
 
-def test_a_send_to_a_server_that_drains_is_counted_and_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The place that decides is blind here."""
-    told_events: list[dict[str, Any]] = []
+def test_send_to_draining_server_is_counted_and_logged(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The regular check before sending is disabled here."""
+    events: list[dict[str, Any]] = []
     monkeypatch.setattr(
-        "sprucenotch.node.rules.event", lambda log, level, name, **fields: told_events.append(fields)
+        "sprucenotch.node.rules.event", lambda log, level, name, **fields: events.append(fields)
     )
     monkeypatch.setattr(Pool, "takes", lambda self, connection: True)
 
@@ -41,8 +41,8 @@
             original = Attempt.start
 
             def drains_first(self: Attempt) -> None:
-                told = {"seq": 2, "whole": False, "hosts": [entry("s-0", served.dial, "draining")]}
-                node.host.upstream.learn(config.host_list(told, node.config.names).hosts, whole=False)
+                hosts = {"seq": 2, "whole": False, "hosts": [entry("s-0", served.dial, "draining")]}
+                node.host.upstream.learn(config.host_list(hosts, node.config.names).hosts, whole=False)
                 original(self)
 
             monkeypatch.setattr(Attempt, "start", drains_first)
@@ -53,12 +53,12 @@
             assert b'rule_violations_total{rule="sent to a server that drains or is gone"} 1' in text
 
     run(test())
-    [told] = told_events
-    assert (told["rule"], told["req_id"]) == (Rule.SENT_WITHDRAWN.value, "9b1f")
+    [fields] = events
+    assert (fields["rule"], fields["req_id"]) == (Rule.SENT_WITHDRAWN.value, "9b1f")
 
 
-def test_a_send_that_was_held_up_beyond_the_slack_is_counted() -> None:
-    """Between the decision and the write; up to the slack it is not."""
+def test_send_delayed_beyond_tolerance_is_counted() -> None:
+    """The delay is between the decision and the write; up to the tolerance it is not counted."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -77,7 +77,7 @@
     run(test())
 
 
-def test_what_may_have_run_and_must_not_run_twice_is_not_sent_again_whatever_the_decisions_say() -> None:
+def test_unsafe_request_that_may_have_run_is_not_resent_despite_decision() -> None:
     async def test() -> None:
         async def breaks(seen: Seen) -> None:
             return None
@@ -100,7 +100,7 @@
     run(test())
 
 
-def test_a_close_over_a_request_that_is_owed_its_answer_is_counted() -> None:
+def test_close_with_pending_answer_is_counted() -> None:
     async def test() -> None:
         async with endpoint(never) as served, sidecar(served.dial) as node:
             client = await node.client()
@@ -113,7 +113,7 @@
     run(test())
 
 
-def test_closes_refusals_and_retries_are_counted_by_reason_and_none_is_a_violation() -> None:
+def test_closes_refusals_and_retries_are_counted_without_violation() -> None:
     async def test() -> None:
         answers = iter([status(503, b"Srv-Declined: 1"), ok(), status(500)])
 
@@ -121,8 +121,8 @@
             return next(answers)
 
         async with endpoint(answered) as one, sidecar(one.dial) as node:
-            told = {"seq": 2, "whole": False, "hosts": [entry("s-1", one.dial)]}
-            node.host.learn(config.host_list(told, node.config.names), ListKind.DELTA)
+            hosts = {"seq": 2, "whole": False, "hosts": [entry("s-1", one.dial)]}
+            node.host.learn(config.host_list(hosts, node.config.names), ListKind.DELTA)
             node.host._balancer.budget = 5.0
             client = await node.client()
             assert (await client.ask(request()))[0] == 200
@@ -137,7 +137,7 @@
     run(test())
 
 
-def test_clients_taken_before_the_servers_are_known_are_counted() -> None:
+def test_accepting_clients_before_list_is_known_is_counted() -> None:
     async def test() -> None:
         async with sidecar() as node:
             node.host.rules.started(node.host.may_take_clients)
@@ -146,8 +146,8 @@
     run(test())
 
 
-def test_a_timer_that_comes_early_does_not_have_clients_taken_early(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by the hunt (seeds 6 and 24), with discovery down at the start: by a millisecond."""
+def test_early_timer_does_not_accept_clients_early(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Found by the hunt (seeds 6 and 24), with discovery down at the start: 1 ms too early."""
 
     async def test() -> None:
         async with sidecar(dead_dial()) as node:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""What a store keeps: power cut at every operation, broken files of every kind, one writer."""
+"""The store: power cuts at every operation, broken files of every kind, a single writer."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
     disk.unlock()
 
 
-def test_power_cuts_lose_no_promised_record_invent_none_and_a_start_is_always_made() -> None:
+def test_power_cut_loses_no_durable_record_and_start_succeeds() -> None:
     for mode in MODES:
         found = explore(mode, range(20))
         assert found.cases > 800 and found.broken == []
 
 
 @pytest.mark.parametrize("forgotten", FORGOTTEN)
-def test_the_exploration_finds_each_precaution_that_is_forgotten(forgotten: str) -> None:
+def test_exploration_detects_each_omitted_precaution(forgotten: str) -> None:
     assert explore("always", range(12), forgotten).broken
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.data())
-def test_whatever_is_flipped_or_cut_off_records_are_a_prefix_and_nothing_is_deleted(
+def test_corrupted_file_leaves_prefix_of_records_and_is_not_deleted(
     data: st.DataObject,
 ) -> None:
     disk = Volume()
@@ -63,7 +63,7 @@
     kept = list(opened.found.records)
     assert kept == list(range(len(kept))) and opened.problem == ""
     whole = len(kept) == 20
-    # Only a cut between two records, or in what a reader passes over, cannot be told from a shorter file.
+    # Only a cut between two records, or in skipped data, cannot be distinguished from a shorter file.
     if opened.found.refused:
         assert any(disk.read(aside) == bytes(raw) for aside in opened.set_aside)
     assert whole or opened.found.refused or len(raw) < len(before)
@@ -74,7 +74,7 @@
 
 
 def header(**changes: object) -> Header:
-    told = {
+    fields = {
         "kind": "journal",
         "generation": 1,
         "schema": 2,
@@ -82,7 +82,7 @@
         "owner": "sidecar-0",
         "at": NOW,
     }
-    return Header(**told | changes)  # type: ignore[arg-type]
+    return Header(**fields | changes)  # type: ignore[arg-type]
 
 
 FILES = {
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("reason", FILES)
-def test_each_file_that_is_not_taken_has_its_reason_is_set_aside_and_the_start_goes_on(reason: str) -> None:
+def test_refused_file_is_set_aside_with_reason_and_store_opens(reason: str) -> None:
     disk = Volume()
     disk.open("journal.1").write(FILES[reason])
     opened = open_store(disk, OWNER, SCHEMA, NOW, oldest=500 * 10**9)
@@ -114,7 +114,7 @@
     assert open_store(disk, OWNER, SCHEMA, NOW).found.records == (7,)
 
 
-def test_older_records_are_taken_up_and_the_next_compaction_writes_them_anew() -> None:
+def test_records_of_older_schema_are_read_and_rewritten_by_compaction() -> None:
     disk = Volume()
     disk.open("journal.1").write(file_start(header(schema=1), 0) + encode(1, b"41") + encode(2, b"42"))
     opened = open_store(disk, OWNER, SCHEMA, NOW)
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["names", "open", "write", "sync", "lock"])
-def test_a_disk_that_fails_is_said_once_counted_and_keeps_nobody_from_starting(trouble: str) -> None:
+def test_failing_disk_is_reported_and_does_not_prevent_start(trouble: str) -> None:
     disk = Volume()
     filled(disk, 1, 2)
     disk.failing = {trouble}
@@ -135,7 +135,7 @@
     assert opened.found.records == (() if trouble == "names" else (1, 2))
 
 
-def test_a_store_that_fills_up_goes_on_and_a_start_finds_all_that_was_whole() -> None:
+def test_full_disk_drops_records_and_start_finds_all_intact_ones() -> None:
     disk = Volume()
     opened = open_store(disk, OWNER, SCHEMA, NOW, "always")
     disk.room = 100
@@ -147,7 +147,7 @@
     assert found == tuple(range(10 - opened.store.dropped_records))
 
 
-def test_there_is_one_writer_and_a_real_folder_with_strange_things_in_it_is_started_from(
+def test_second_writer_is_locked_out_and_odd_files_are_set_aside(
     tmp_path: Path,
 ) -> None:
     first = open_store(RealDisk(tmp_path), OWNER, SCHEMA, NOW)
@@ -167,7 +167,7 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 2**32))
-def test_any_mix_of_appends_compactions_and_starts_keeps_all_in_order(seed: int) -> None:
+def test_any_mix_of_appends_compactions_and_restarts_keeps_records_in_order(seed: int) -> None:
     rng, disk, wrote = random.Random(seed), Volume(), list[int]()
     steps: Iterator[None] = iter(())
     store: Store[int] = open_store(disk, OWNER, SCHEMA, NOW, bounds=Bounds(files=3)).store
@@ -179,7 +179,7 @@
         elif done < 0.85:
             if next(steps, "over") == "over":
                 steps = store.compact(wrote, NOW)
-        else:  # killed, with whatever compaction was under way
+        else:  # killed, possibly during a compaction
             disk.unlock()
             store, steps = open_store(disk, OWNER, SCHEMA, NOW).store, iter(())
     disk.unlock()
@@ -187,7 +187,7 @@
     assert list(found.records) == wrote and not found.refused
 
 
-def test_the_commands_tell_of_a_broken_store_and_mend_it(tmp_path: Path) -> None:
+def test_store_commands_report_and_repair_broken_store(tmp_path: Path) -> None:
     for value in (1, 2, 3):
         opened = open_store(RealDisk(tmp_path), OWNER, SCHEMA, NOW)
         opened.store.append(value)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the list where discovery is asked: what each way of failing leads to, and in which order."""
+"""The watch on the list in the on-request mode: the order of calls after each kind of failure."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 ASKED = SETTINGS | {"Discovery": "on_request"}
 
 
-def told(seq: int, *hosts: dict[str, Any]) -> bytes:
+def list_answer(seq: int, *hosts: dict[str, Any]) -> bytes:
     return ok(json.dumps({"seq": seq, "whole": False, "hosts": hosts}).encode())
 
 
 async def called(service: Endpoint, number: int) -> list[str]:
-    """The calls so far, once there are so many: what they ask for."""
+    """Wait for `number` calls; return the queries of all calls so far."""
     while len(service.seen) < number:
         service.arrived.clear()
         await service.arrived.wait()
@@ -55,27 +55,27 @@
     return isinstance(event, api.EndpointList) and event.kind == SILENT
 
 
-def test_the_time_for_a_silent_watch_is_less_than_what_it_missed_has_until_it_counts_as_told() -> None:
-    """The formulas that stand beside the constants, with an answer that takes as long as they allow."""
+def test_silent_watch_timeouts_fit_within_deadline() -> None:
+    """Checks the formulas documented next to the constants, with the longest answer time that they allow."""
     answer, drain, gap = 1.9, 0.5, MAX_GAP / SECOND
     assert discovery.MAX_HOLD * discovery.MIN_HOLD_SHARE >= 4
     assert discovery.HOLD_TIMEOUT_MARGIN + gap + answer <= discovery.SILENT_WATCH_DEADLINE + drain
     assert discovery.CONNECT_TIMEOUT + gap < discovery.SILENT_WATCH_DEADLINE
 
 
-def test_a_watch_that_fell_silent_is_opened_anew_at_once_and_its_drain_is_kept(
+def test_silent_watch_is_reopened_at_once_and_missed_drain_is_applied(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The new call holds for no time."""
+    """The new call has no hold."""
     monkeypatch.setattr(discovery, "MAX_HOLD", 0.05)
     monkeypatch.setattr(discovery, "MIN_HOLD_SHARE", 1.0)
 
     async def test() -> None:
         async def script(seen: Seen) -> bytes:
             if len(service.seen) == 1:
-                return told(1)
+                return list_answer(1)
             if len(service.seen) == 3:
-                return told(2, entry("s-0", served.dial, "draining"))
+                return list_answer(2, entry("s-0", served.dial, "draining"))
             return await never(seen)
 
         async with (
@@ -94,14 +94,14 @@
     run(test())
 
 
-def test_after_a_silence_a_refused_call_is_made_again_by_itself(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_call_refused_after_silent_watch_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "MAX_HOLD", 0.05)
     monkeypatch.setattr(discovery, "HOLD_TIMEOUT_MARGIN", 0.05)
 
     async def test() -> None:
         async def script(seen: Seen) -> bytes:
             if len(service.seen) == 1:
-                return told(1)
+                return list_answer(1)
             return await never(seen) if len(service.seen) == 2 else status(503)
 
         async with (
@@ -116,8 +116,8 @@
     run(test())
 
 
-def test_a_call_that_says_nothing_keeps_its_place_beside_the_next_and_either_answer_counts() -> None:
-    """The service may be slow and not hung: who gives up a place in its queue has to wait anew."""
+def test_unanswered_call_stays_open_and_its_late_answer_is_applied() -> None:
+    """The service may be slow rather than hung; a call made anew would start at the end of its queue."""
 
     async def test() -> None:
         second = asyncio.Event()
@@ -125,7 +125,7 @@
         async def script(seen: Seen) -> bytes:
             if len(service.seen) == 1:
                 await second.wait()
-                return told(2, ENTRY)
+                return list_answer(2, ENTRY)
             second.set()
             return await never(seen)
 
@@ -142,10 +142,10 @@
     run(test())
 
 
-def test_an_answer_that_comes_once_the_next_call_has_failed_is_followed_by_a_watch(
+def test_late_answer_after_failed_call_starts_a_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """To the decisions an answer is a watch that goes on, so they do not call again by themselves."""
+    """The balancer takes an answer for the start of a watch, so it schedules no call of its own."""
     monkeypatch.setattr(CallSchedule, "start", lambda self, now, settings: HOUR)
     monkeypatch.setattr(CallSchedule, "failed", lambda self, now, settings: HOUR)
 
@@ -155,7 +155,7 @@
         async def script(seen: Seen) -> bytes:
             if len(service.seen) == 1:
                 await refused.wait()
-                return told(2, ENTRY)
+                return list_answer(2, ENTRY)
             return status(503) if len(service.seen) == 2 else await never(seen)
 
         async with (
@@ -172,14 +172,14 @@
     run(test())
 
 
-def test_a_watch_that_was_refused_or_reset_is_left_to_the_decisions() -> None:
-    """Discovery said no, or is gone: all sidecars asking again at once would keep it so."""
+def test_refused_or_reset_watch_is_rescheduled_by_the_balancer() -> None:
+    """Discovery refuses or is down; if all sidecars called again at once, it would not recover."""
 
     async def test() -> None:
         for answer in (status(503), None):
 
             async def script(seen: Seen, answer: bytes | None = answer) -> bytes | None:
-                return told(1) if len(service.seen) == 1 else answer
+                return list_answer(1) if len(service.seen) == 1 else answer
 
             async with (
                 endpoint(script) as service,
@@ -200,17 +200,17 @@
 
 
 @pytest.mark.parametrize("change", [{key: value} for key in ENTRY for value in ODD])
-def test_whatever_an_entry_holds_is_either_taken_or_a_value_error(change: dict[str, Any]) -> None:
-    """The caller takes that one for a failed call; any other error would end the watch for ever."""
+def test_host_list_with_odd_value_is_accepted_or_raises_value_error(change: dict[str, Any]) -> None:
+    """A ValueError counts as a failed call; any other exception would end the watch for good."""
     with contextlib.suppress(ValueError):
         config.host_list({"seq": 1, "whole": True, "hosts": [ENTRY | change]}, config.Names({}, {}))
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_watch_that_a_fault_ends_is_a_failed_one_and_the_list_is_asked_for_again(pushed: bool) -> None:
+def test_watch_ended_by_exception_counts_as_failed_and_list_is_requested_again(pushed: bool) -> None:
     async def script(seen: Seen) -> bytes:
         at = seen.line.partition(b"from=")[2].partition(b"&")[0]
-        return told(1 + len(service.seen), ENTRY) if at == b"1" else await never(seen)
+        return list_answer(1 + len(service.seen), ENTRY) if at == b"1" else await never(seen)
 
     service: Endpoint
 
@@ -233,18 +233,18 @@
             for number in (1, 2):
                 if not pushed:
                     await node.event(failed, number)
-                    node.discovery.watch(True)  # as the decisions do, at their pace
+                    node.discovery.watch(True)  # as the balancer does, after a delay
             await node.event(lambda e: isinstance(e, api.EndpointList) and e.kind == api.ListKind.DELTA)
             assert {call.partition("&")[0] for call in await called(service, 3)} >= {"from=1"}
 
     run(test())
 
 
-def test_discovery_that_moved_is_called_at_once_also_where_no_watch_is_out(
+def test_moved_discovery_is_called_at_once_without_open_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A watch has failed, and the decisions wait before they ask again, here for ever; what the new address
-    has to tell counts as told soon."""
+    """A watch has failed and the balancer delays the next call, here forever. Changes at the new address must
+    be applied soon."""
     monkeypatch.setattr(CallSchedule, "start", lambda self, now, settings: HOUR)
     monkeypatch.setattr(CallSchedule, "failed", lambda self, now, settings: HOUR)
 
@@ -266,8 +266,8 @@
     run(test())
 
 
-def test_a_process_that_began_with_an_old_list_keeps_a_drain_that_its_first_answer_tells() -> None:
-    """It was handed the list, and sends by it: the drain since comes while that connection comes up."""
+def test_drain_in_first_answer_stops_attempt_that_is_connecting() -> None:
+    """The process sends by an outdated list; the drain arrives while the connection is being opened."""
 
     async def test() -> None:
         asked = asyncio.Event()
@@ -276,7 +276,7 @@
             if len(service.seen) > 1:
                 return await never(seen)
             await asked.wait()
-            return told(2, entry("s-0", served.dial, "draining"))
+            return list_answer(2, entry("s-0", served.dial, "draining"))
 
         async with (
             endpoint(always_ok) as served,
--- a/tests/test_whole_list.py
+++ b/tests/test_whole_list.py
@@ -1,4 +1,4 @@
-"""What a whole list does not name is gone, also where it still answers: nothing more is sent there."""
+"""An engine missing from a whole list gets no more requests, even if it still answers."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 ENGINE = config.endpoint_id("s-0")
 
 
-def whole(node: Sidecar, seq: int, *dials: str) -> None:
-    told = {"seq": seq, "whole": True, "hosts": [entry("s-0", dial) for dial in dials]}
-    node.host.learn(config.host_list(told, node.config.names), api.ListKind.FULL)
+def learn_whole_list(node: Sidecar, seq: int, *dials: str) -> None:
+    hosts = {"seq": seq, "whole": True, "hosts": [entry("s-0", dial) for dial in dials]}
+    node.host.learn(config.host_list(hosts, node.config.names), api.ListKind.FULL)
 
 
 @pytest.mark.parametrize("back", [False, True], ids=["gone", "gone and named again"])
 @pytest.mark.parametrize("body", [b"", b"x" * (WHOLE_MOST + 1)], ids=["short", "upload"])
-def test_while_a_connection_to_it_comes_up(body: bytes, back: bool) -> None:
-    """Named again, it may be another process: the attempt that was decided before is not carried out."""
+def test_removed_engine_gets_no_request_on_connection_being_opened(body: bytes, back: bool) -> None:
+    """If it is listed again it may be another process, so the earlier attempt is not sent."""
 
     async def test() -> None:
         async with late() as (served, node, connections):
             client = await node.client()
             client.writer.write(request("post" if body else "read", body=body))
             await connections.coming.wait()
-            whole(node, 2)
+            learn_whole_list(node, 2)
             if back:
-                whole(node, 3, served.dial)
+                learn_whole_list(node, 3, served.dial)
             connections.let.set()
             assert (await node.event(completed)).outcome == Outcome.CONNECT_FAILED
-            assert (await client.answer())[0] == 503 and served.seen == []  # there is no other to try
+            assert (await client.answer())[0] == 503 and served.seen == []  # there is no other engine
             assert (await client.ask(request()))[0] == (200 if back else 503)
             assert len(served.seen) == back
 
     run(test())
 
 
-def test_while_a_kept_connection_to_it_rests() -> None:
+def test_removed_engine_gets_no_request_after_reuse_delay() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             outcomes: asyncio.Queue[int] = asyncio.Queue()
@@ -60,30 +60,30 @@
                     assert await outcomes.get() == Outcome.OK
                 else:
                     assert attempt._rest is not None and outcomes.empty()
-            whole(node, 2)
+            learn_whole_list(node, 2)
             assert await outcomes.get() == Outcome.CONNECT_FAILED
             assert (len(served.seen), node.host.upstream.connections) == (1, 0)
 
     run(test())
 
 
-def test_with_connections_kept_to_it() -> None:
+def test_removed_engine_gets_no_request_on_idle_connection() -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             client = await node.client()
             assert (await client.ask(request()))[0] == 200
-            whole(node, 2)
+            learn_whole_list(node, 2)
             assert (await client.ask(request()))[0] == 503 and len(served.seen) == 1
-            whole(node, 3, served.dial)
+            learn_whole_list(node, 3, served.dial)
             assert (await client.ask(request()))[0] == 200
             assert (served.connections, len(served.seen)) == (2, 2)
 
     run(test())
 
 
-def test_between_the_answer_of_its_probe_and_the_send() -> None:
+def test_removed_engine_gets_no_request_after_its_probe_answer() -> None:
     b, asked = asking()
-    b.give(api.Probed(asked[0], Outcome.OK, 5 * MS, ()))  # what else answers in this turn is waited for
+    b.give(api.Probed(asked[0], Outcome.OK, 5 * MS, ()))  # answers of the same loop turn are awaited
     others = [listed(n, zone=n % 2) for n in range(1, 17)]
     b.list_of(*(e for e in others if e.id != asked[0]), kind=api.ListKind.FULL)
     for action in b.give(api.Timer(1 + 1)):
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -1,4 +1,4 @@
-"""Lists that are older than the one in hand: what was withdrawn since does not come back by them."""
+"""Lists older than the current one must not restore servers that were withdrawn since."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
     return tuple(host(number, Health.READY) for number in numbers)
 
 
-class Hand:
-    """The list as the program holds it, and whoever decides what of another is taken."""
+class CurrentList:
+    """The current list, updated through Withdrawals as in the program."""
 
     def __init__(self, known: HostList, now: int = 0) -> None:
         self.servers = {listed.name: listed.endpoint for listed in known.hosts}
         self.withdrawals = Withdrawals(known, now)
 
-    def take(self, told: HostList, now: int = 0) -> None:
-        taken = self.withdrawals.reconcile(told, now)
-        if taken.whole:
+    def take(self, update: HostList, now: int = 0) -> None:
+        applied = self.withdrawals.reconcile(update, now)
+        if applied.whole:
             self.servers = {}
-        for listed in taken.hosts:
+        for listed in applied.hosts:
             if listed.endpoint.health == Health.GONE:
                 self.servers.pop(listed.name, None)
             else:
@@ -69,7 +69,7 @@
 
 
 class History:
-    """All that one service ever told: the list at each version, and the changes between them."""
+    """The history of one service: the list at each version, and the changes between versions."""
 
     def __init__(self, changes: list[Change]) -> None:
         self.changes: list[Host] = []
@@ -100,51 +100,53 @@
 
 
 @given(st.lists(CHANGES, min_size=1, max_size=30), st.data())
-def test_a_replica_that_is_behind_brings_nothing_back_and_once_it_has_caught_up_its_list_holds(
+def test_lagging_replica_restores_no_withdrawn_server_until_it_catches_up(
     changes: list[Change], data: st.DataObject
 ) -> None:
     history = History(changes)
     newest = data.draw(st.integers(0, len(changes)))
-    hand = Hand(history.whole(newest))
+    current = CurrentList(history.whole(newest))
     version = data.draw(st.integers(0, newest))
-    hand.take(data.draw(st.sampled_from([history.whole(version), HostList(version, False, ())])))
+    current.take(data.draw(st.sampled_from([history.whole(version), HostList(version, False, ())])))
     known = history.lists[newest]
     while version < len(changes):
         if version < newest:
-            for name in hand.ready():
-                restarted = name not in known or hand.servers[name].started > known[name].endpoint.started
+            for name in current.ready():
+                restarted = name not in known or current.servers[name].started > known[name].endpoint.started
                 assert restarted or known[name].endpoint.health == Health.READY
         after = data.draw(st.integers(version + 1, len(changes)))
         whole = data.draw(st.booleans())
-        hand.take(history.whole(after) if whole else history.between(version, after))
+        current.take(history.whole(after) if whole else history.between(version, after))
         version = after
         if version >= newest:
-            assert hand.servers == {name: listed.endpoint for name, listed in history.lists[version].items()}
-
-
-def test_what_was_removed_or_drains_stays_so_by_an_older_whole_list_until_it_is_started_again() -> None:
-    hand = Hand(HostList(8, True, hosts(1, 2, 3)))
-    hand.take(HostList(9, False, (host(1, Health.DRAINING), host(2, Health.GONE))))
-    hand.take(HostList(5, True, hosts(1, 2, 3, 4)))
-    assert hand.ready() == {"s-3", "s-4"} and hand.servers["s-1"].health == Health.DRAINING
-    hand.take(HostList(6, False, (host(1, Health.READY, SECOND), host(2, Health.READY, SECOND))))
-    assert hand.ready() == {"s-1", "s-2", "s-3", "s-4"}
-
-
-def test_at_a_service_that_counts_anew_nothing_is_held_back_for_longer_than_the_retention() -> None:
-    hand = Hand(HostList(8, True, hosts(1, 2)))
-    hand.take(HostList(9, True, hosts(1)))
-    hand.take(HostList(1, True, hosts(1, 2)))
-    assert not hand.withdrawals.whole_list_due(RETENTION)
-    assert hand.withdrawals.whole_list_due(RETENTION + 1)
-    hand.take(HostList(2, False, ()), RETENTION + 1)
-    assert hand.withdrawals.whole_list_due(RETENTION + 1)  # as only a whole list names it
-    hand.take(HostList(2, True, hosts(1, 2)), RETENTION + 1)
-    assert hand.ready() == {"s-1", "s-2"}
-    assert not hand.withdrawals.whole_list_due(10 * RETENTION)
-
-
-def test_memory_is_that_of_the_list_and_of_what_was_withdrawn_of_late() -> None:
+            assert current.servers == {
+                name: listed.endpoint for name, listed in history.lists[version].items()
+            }
+
+
+def test_older_whole_list_restores_withdrawn_server_only_after_restart() -> None:
+    current = CurrentList(HostList(8, True, hosts(1, 2, 3)))
+    current.take(HostList(9, False, (host(1, Health.DRAINING), host(2, Health.GONE))))
+    current.take(HostList(5, True, hosts(1, 2, 3, 4)))
+    assert current.ready() == {"s-3", "s-4"} and current.servers["s-1"].health == Health.DRAINING
+    current.take(HostList(6, False, (host(1, Health.READY, SECOND), host(2, Health.READY, SECOND))))
+    assert current.ready() == {"s-1", "s-2", "s-3", "s-4"}
+
+
+def test_service_with_restarted_versions_holds_servers_back_for_retention_at_most() -> None:
+    current = CurrentList(HostList(8, True, hosts(1, 2)))
+    current.take(HostList(9, True, hosts(1)))
+    current.take(HostList(1, True, hosts(1, 2)))
+    assert not current.withdrawals.whole_list_due(RETENTION)
+    assert current.withdrawals.whole_list_due(RETENTION + 1)
+    current.take(HostList(2, False, ()), RETENTION + 1)
+    assert current.withdrawals.whole_list_due(RETENTION + 1)  # as only a whole list contains it
+    current.take(HostList(2, True, hosts(1, 2)), RETENTION + 1)
+    assert current.ready() == {"s-1", "s-2"}
+    assert not current.withdrawals.whole_list_due(10 * RETENTION)
+
+
+def test_memory_is_bounded_by_list_and_recent_withdrawals() -> None:
     withdrawals = Withdrawals(HostList(0, True, ()), 0)
     for clock in range(1000):
         number = clock % 200
@@ -158,8 +160,8 @@
     return ok(json.dumps({"seq": seq, "whole": whole, "hosts": entries}).encode())
 
 
-def in_turn(answers: list[bytes]) -> Script:
-    """A service that gives these answers, and none after them."""
+def answers_in_turn(answers: list[bytes]) -> Script:
+    """A service that sends these answers in turn, then none."""
     remaining = iter(answers)
 
     async def script(seen: Seen) -> bytes:
@@ -176,21 +178,19 @@
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
 @pytest.mark.parametrize("older", OLDER)
-def test_a_server_that_drains_gets_nothing_once_discovery_has_moved_to_one_that_is_behind(
-    older: str, pushed: bool
-) -> None:
+def test_draining_server_gets_no_requests_after_move_to_lagging_discovery(older: str, pushed: bool) -> None:
     async def test() -> None:
         async with endpoint(always_ok) as served:
             before = [answer(9, False, entry("s-0", served.dial, "draining"))]
             after = OLDER[older](served.dial)
             settings = SETTINGS if pushed else ASKED
             async with (
-                endpoint(in_turn(before)) as old,
-                endpoint(in_turn(after)) as new,
+                endpoint(answers_in_turn(before)) as old,
+                endpoint(answers_in_turn(after)) as new,
                 sidecar(served.dial, discovery=old.dial, settings=settings) as node,
             ):
                 node.discovery.watch(True)
-                await called(old, 2)  # the first answer has been taken
+                await called(old, 2)  # the first answer has been applied
                 node.discovery.move(config.address(new.dial))
                 await called(new, len(after) + 1)
                 client = await node.client()
@@ -201,20 +201,20 @@
 
 @pytest.mark.parametrize("marked", [False, True], ids=["not marked as whole", "marked"])
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
-def test_after_the_retention_the_whole_list_is_called_for_and_taken_as_it_is(
+def test_whole_list_is_requested_and_applied_after_retention(
     pushed: bool, marked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Discovery counts anew: the server that was removed before is back at its old start."""
+    """Discovery has restarted its versions; a removed server is back with its old start time."""
 
     async def test() -> None:
         async with endpoint(always_ok) as served:
             back = entry("s-0", served.dial)
-            answers = in_turn(
+            answers = answers_in_turn(
                 [answer(9, True), answer(1, False, back), answer(1, False), answer(1, marked, back)]
             )
 
             async def script(seen: Seen) -> bytes | None:
-                if len(service.seen) == 3:  # what was withdrawn is held back by now
+                if len(service.seen) == 3:  # the withdrawn server is held back by now
                     monkeypatch.setattr(withdrawals, "RETENTION", -1)
                 return await answers(seen)
 
@@ -225,7 +225,7 @@
                 node.discovery.watch(True)
                 _, second, third, fourth, fifth, *_ = await called(service, 5)
                 assert "from=9" in second and "from=1" in third and fourth == ""
-                assert "from=1" in fifth  # once is enough
+                assert "from=1" in fifth  # requested only once
                 client = await node.client()
                 assert (await client.ask(request()))[0] == 200
 
