--- a/sprucenotch/node/config.py
+++ b/sprucenotch/node/config.py
@@ -19,7 +19,7 @@
 Address: TypeAlias = tuple[str, int]
 
 SECOND = 1_000_000_000
-DEFAULT_MAX_SOCKETS = 1024  # descriptors if the file sets no limit; the deployment allows this many
+DEFAULT_MAX_SOCKETS = 1024  # descriptors if the file sets no limit: the maximum given by the deployment
 MEMORY_LEAST = 32  # megabytes; every deployment provides at least this
 # Descriptors for the program's own use: standard streams (3), event loop (10) and its poller (1), listeners
 # and the peers' socket (3); calls to discovery: the watch, discovery.MAX_OVERDUE left open, two closing (7);
@@ -302,8 +302,7 @@
 
 
 def _max_sockets(configured: Any) -> int:
-    """The descriptor limit: the configured one, capped by that of the kernel. It bounds the number of client
-    and server connections."""
+    """The configured descriptor limit, capped by that of the kernel; bounds client and server connections."""
     limit = _positive_int(configured) or DEFAULT_MAX_SOCKETS
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY:
--- a/sprucenotch/node/log.py
+++ b/sprucenotch/node/log.py
@@ -1,8 +1,7 @@
-"""Structured logging to standard error: one event per line, with named fields, as JSON or, on a terminal,
-text.
+"""Structured logging to standard error: one event per line, with named fields, as JSON or as text.
 
-Based on the standard library's logging, which asyncio imports anyway; structlog took 4.7 MB and 0.1 s at each
-start.
+By default text on a terminal, otherwise JSON. Based on the standard library's logging, which asyncio imports
+anyway; structlog took 4.7 MB and 0.1 s at each start.
 """
 
 from __future__ import annotations
--- a/sprucenotch/node/serve.py
+++ b/sprucenotch/node/serve.py
@@ -97,7 +97,7 @@
     frontend.listening = True
     event(log, logging.INFO, "ready")
     await stop_requested.wait()
-    # From here on, answers close their connections.
+    # From here on, answers close their connections, so that clients leave once they are served.
     frontend.draining = True
     host.drain()
     if peers is not None:
@@ -110,8 +110,8 @@
     await asyncio.sleep(ACCEPT_AFTER_STOP)
     await acceptor.close()
     frontend.close_idle()
-    # No time limit here, as it would cut off long answers in progress. Connections whose peer neither sends
-    # nor reads have timeouts of their own, so this ends.
+    # No time limit here, as it would cut off long answers in progress. Peers that neither send, nor read,
+    # nor answer are disconnected by their own timeouts, so this ends.
     await frontend.finished()
     if recovery is not None:
         recovery.close()
--- a/sprucenotch/node/standing.py
+++ b/sprucenotch/node/standing.py
@@ -33,8 +33,8 @@
         with open("/proc/self/statm", "rb") as file:
             _, resident, shared, *_ = map(int, file.read().split())
     except OSError:
-        most = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
-        return most, most
+        peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
+        return peak, peak
     return resident * resource.getpagesize(), (resident - shared) * resource.getpagesize()
 
 
@@ -53,9 +53,8 @@
         self, balancer: Balancer, telemetry: Telemetry, upstream: Upstream, now: Callable[[], int]
     ) -> None:
         self._balancer, self.telemetry, self.upstream, self._now = balancer, telemetry, upstream, now
-        self.list_age: Callable[[], int | None] = lambda: (
-            None
-        )  # nanoseconds since discovery confirmed the list; None: never
+        # Nanoseconds since discovery confirmed the list; None: never.
+        self.list_age: Callable[[], int | None] = lambda: None
         self.lag = 0.0  # seconds by which the last status timer was late
 
     def figures(self) -> dict[str, Any]:
@@ -69,8 +68,7 @@
         return len(members), sum(map(self._is_skipped, members))
 
     def _is_skipped(self, member: Member) -> bool:
-        """Whether a listed engine currently gets no requests: it is draining, or it is ejected and not in use
-        for lack of others."""
+        """Whether a listed engine gets no requests now: draining, or ejected and not kept in use."""
         if member.health != api.Health.READY:
             return True
         used = self._balancer.engines.subset
--- a/sprucenotch/recovery/predecessor.py
+++ b/sprucenotch/recovery/predecessor.py
@@ -1,5 +1,4 @@
-"""Reads the state of the previous process (predecessor): from its folder, or by a call to its management
-listener.
+"""Reads the state of the previous process (predecessor): from its folder, or by a call to it.
 
 The predecessor may be busy, hung, paused, killed, of an earlier version or absent. All waits are therefore
 short, and everything that is read is verified.
--- a/sprucenotch/store/reading.py
+++ b/sprucenotch/store/reading.py
@@ -69,7 +69,7 @@
 
 class _File(NamedTuple):
     header: Header
-    first: int  # the sequence before its first record
+    sequence_before: int  # the sequence of the record before its first one
     frames: list[Frame]
     damage: Damage | None
 
@@ -102,14 +102,14 @@
     for generation in sorted(snapshots, reverse=True):
         whole = _snapshot_records(f"snapshot.{generation}", snapshots[generation], schema, refused)
         if whole is not None:
-            records, sequence, base = whole, snapshots[generation].first, generation
+            records, sequence, base = whole, snapshots[generation].sequence_before, generation
             break
     ended = False
     for generation in sorted(journals):
         if generation < base:
             continue
         name, file = f"journal.{generation}", journals[generation]
-        if ended or file.first > sequence:
+        if ended or file.sequence_before > sequence:
             refused.append(Refusal(name, "hole"))
             ended = True
             continue
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -21,13 +21,13 @@
 from sprucenotch.seams.recorded import RecordedFile
 from tests.planted_hunt import repeats_what_may_have_run
 
-EVERY = 10
-LATE = 0.9  # seconds
+CALLS_PER_FAULT = 10
+ANSWER_DELAY = 0.9  # seconds
 _numbers = itertools.count(1)
 
 
-def now_and_then() -> bool:
-    return next(_numbers) % EVERY == 0
+def is_faulty_call() -> bool:
+    return next(_numbers) % CALLS_PER_FAULT == 0
 
 
 def answers_twice() -> None:
@@ -35,7 +35,7 @@
 
     def planted(self: ClientConnection, exchange: Exchange, answer: Answer) -> None:
         write(self, exchange, answer)
-        if self._transport is not None and now_and_then():
+        if self._transport is not None and is_faulty_call():
             self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ntwice")
 
     ClientConnection._write = planted  # type: ignore[method-assign]
@@ -45,7 +45,7 @@
     write = ClientConnection._write
 
     def planted(self: ClientConnection, exchange: Exchange, answer: Answer) -> None:
-        if self._transport is not None and now_and_then():
+        if self._transport is not None and is_faulty_call():
             self._transport.abort()
         else:
             write(self, exchange, answer)
@@ -75,8 +75,8 @@
     put = Exchange.put
 
     def planted(self: Exchange, answer: Answer) -> None:
-        if self.id and now_and_then():
-            asyncio.get_running_loop().call_later(LATE, put, self, answer)
+        if self.id and is_faulty_call():
+            asyncio.get_running_loop().call_later(ANSWER_DELAY, put, self, answer)
         else:
             put(self, answer)
 
@@ -87,7 +87,7 @@
     serve = Exchange.serve
 
     def planted(self: Exchange, answer: Answer) -> None:
-        if now_and_then():
+        if is_faulty_call():
             self.say(200, b"made up")
         else:
             serve(self, answer)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -36,7 +36,7 @@
     return ok(json.dumps({"seq": seq, "whole": False, "hosts": hosts}).encode())
 
 
-async def called(service: Endpoint, number: int) -> list[str]:
+async def wait_for_calls(service: Endpoint, number: int) -> list[str]:
     """Wait for `number` calls; return the queries of all calls so far."""
     while len(service.seen) < number:
         service.arrived.clear()
@@ -84,7 +84,7 @@
             sidecar(served.dial, discovery=service.dial, settings=ASKED) as node,
         ):
             node.discovery.watch(True)
-            assert (await called(service, 4))[:4] == [
+            assert (await wait_for_calls(service, 4))[:4] == [
                 "from=1&hold_ms=0", "from=1&hold_ms=50", "from=1&hold_ms=0", "from=2&hold_ms=50",
             ]  # fmt: skip
             assert not any(map(failed, node.events))
@@ -109,7 +109,7 @@
             sidecar("127.0.0.1:9", discovery=service.dial, settings=ASKED) as node,
         ):
             node.discovery.watch(True)
-            assert (await called(service, 5))[2:5] == ["from=1&hold_ms=0"] * 3
+            assert (await wait_for_calls(service, 5))[2:5] == ["from=1&hold_ms=0"] * 3
             kinds = [e.kind for e in node.events if isinstance(e, api.EndpointList)]
             assert kinds.index(SILENT) < kinds.index(FAILED)
 
@@ -166,7 +166,7 @@
             node.discovery.watch(True)
             await node.event(failed)
             refused.set()
-            watch = (await called(service, 3))[2]
+            watch = (await wait_for_calls(service, 3))[2]
             assert watch.startswith("from=2&") and not watch.endswith("hold_ms=0")
 
     run(test())
@@ -187,10 +187,10 @@
             ):
                 node.discovery.watch(True)
                 await node.event(failed)
-                first, watch = await called(service, 2)
+                first, watch = await wait_for_calls(service, 2)
                 assert first == "from=1&hold_ms=0"
                 assert 14_000 <= int(watch.removeprefix("from=1&hold_ms=")) <= 20_000
-                assert (await called(service, 3))[2] == "from=1&hold_ms=0"
+                assert (await wait_for_calls(service, 3))[2] == "from=1&hold_ms=0"
 
     run(test())
 
@@ -235,7 +235,7 @@
                     await node.event(failed, number)
                     node.discovery.watch(True)  # as the balancer does, after a delay
             await node.event(lambda e: isinstance(e, api.EndpointList) and e.kind == api.ListKind.DELTA)
-            assert {call.partition("&")[0] for call in await called(service, 3)} >= {"from=1"}
+            assert {call.partition("&")[0] for call in await wait_for_calls(service, 3)} >= {"from=1"}
 
     run(test())
 
@@ -292,6 +292,6 @@
             await node.event(lambda e: getattr(e, "kind", None) == api.ListKind.DELTA)
             connections.let.set()
             assert (await client.answer())[0] == 503 and served.seen == []
-            assert (await called(service, 1))[0] == "from=1&hold_ms=0"
+            assert (await wait_for_calls(service, 1))[0] == "from=1&hold_ms=0"
 
     run(test())
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -29,7 +29,7 @@
     run,
     sidecar,
 )
-from tests.test_watch import ASKED, called
+from tests.test_watch import ASKED, wait_for_calls
 
 
 def host(number: int, health: int, started: int = 0) -> Host:
@@ -190,9 +190,9 @@
                 sidecar(served.dial, discovery=old.dial, settings=settings) as node,
             ):
                 node.discovery.watch(True)
-                await called(old, 2)  # the first answer has been applied
+                await wait_for_calls(old, 2)  # the first answer has been applied
                 node.discovery.move(config.address(new.dial))
-                await called(new, len(after) + 1)
+                await wait_for_calls(new, len(after) + 1)
                 client = await node.client()
                 assert (await client.ask(request()))[0] == 503 and served.seen == []
 
@@ -223,7 +223,7 @@
                 sidecar(served.dial, discovery=service.dial, settings=SETTINGS if pushed else ASKED) as node,
             ):
                 node.discovery.watch(True)
-                _, second, third, fourth, fifth, *_ = await called(service, 5)
+                _, second, third, fourth, fifth, *_ = await wait_for_calls(service, 5)
                 assert "from=9" in second and "from=1" in third and fourth == ""
                 assert "from=1" in fifth  # requested only once
                 client = await node.client()
