--- a/tests/planted.py
+++ b/tests/planted.py
@@ -1,4 +1,4 @@
-"""`python -m tests.planted FAULT`: a sidecar with a deliberate fault, for the rig to find."""
+"""`python -m tests.planted FAULT`: a sidecar with a deliberate fault that the rig must detect."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from sprucenotch.seams.recorded import RecordedFile
 from tests.planted_hunt import repeats_what_may_have_run
 
-EVERY = 10
-LATE = 0.9  # seconds
+CALLS_PER_FAULT = 10
+ANSWER_DELAY = 0.9  # seconds
 _numbers = itertools.count(1)
 
 
-def now_and_then() -> bool:
-    return next(_numbers) % EVERY == 0
+def is_faulty_call() -> bool:
+    return next(_numbers) % CALLS_PER_FAULT == 0
 
 
 def answers_twice() -> None:
@@ -35,7 +35,7 @@
 
     def planted(self: ClientConnection, exchange: Exchange, answer: Answer) -> None:
         write(self, exchange, answer)
-        if self._transport is not None and now_and_then():
+        if self._transport is not None and is_faulty_call():
             self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ntwice")
 
     ClientConnection._write = planted  # type: ignore[method-assign]
@@ -45,7 +45,7 @@
     write = ClientConnection._write
 
     def planted(self: ClientConnection, exchange: Exchange, answer: Answer) -> None:
-        if self._transport is not None and now_and_then():
+        if self._transport is not None and is_faulty_call():
             self._transport.abort()
         else:
             write(self, exchange, answer)
@@ -61,8 +61,8 @@
     figures = Telemetry.figures
 
     def planted(self: Telemetry, known: int, skipped: int) -> dict[str, Any]:
-        told = figures(self, known, skipped)
-        return told | {"passed": {name: count + 1 for name, count in told["passed"].items()}}
+        reported = figures(self, known, skipped)
+        return reported | {"passed": {name: count + 1 for name, count in reported["passed"].items()}}
 
     Telemetry.figures = planted  # type: ignore[method-assign]
 
@@ -75,8 +75,8 @@
     put = Exchange.put
 
     def planted(self: Exchange, answer: Answer) -> None:
-        if self.id and now_and_then():
-            asyncio.get_running_loop().call_later(LATE, put, self, answer)
+        if self.id and is_faulty_call():
+            asyncio.get_running_loop().call_later(ANSWER_DELAY, put, self, answer)
         else:
             put(self, answer)
 
@@ -87,7 +87,7 @@
     serve = Exchange.serve
 
     def planted(self: Exchange, answer: Answer) -> None:
-        if now_and_then():
+        if is_faulty_call():
             self.say(200, b"made up")
         else:
             serve(self, answer)
@@ -97,7 +97,7 @@
 
 def forgets_its_list() -> None:
     put = writer.Writer.put
-    writer.Writer.put = lambda self, kept: put(self, structs.replace(kept, hosts=None))  # type: ignore[method-assign]
+    writer.Writer.put = lambda self, record: put(self, structs.replace(record, hosts=None))  # type: ignore[method-assign]
 
 
 def takes_everything_for_new() -> None:
@@ -107,10 +107,10 @@
 def makes_a_list_up() -> None:
     put = writer.Writer.put
 
-    def planted(self: writer.Writer, kept: memory.Kept) -> None:
-        if kept.hosts is not None:
-            kept = structs.replace(kept, hosts=structs.replace(kept.hosts, seq=kept.hosts.seq + 1000))
-        put(self, kept)
+    def planted(self: writer.Writer, record: memory.StateRecord) -> None:
+        if record.hosts is not None:
+            record = structs.replace(record, hosts=structs.replace(record.hosts, seq=record.hosts.seq + 1000))
+        put(self, record)
 
     writer.Writer.put = planted  # type: ignore[method-assign]
 
@@ -119,7 +119,7 @@
     RecordedFile.sync = lambda self: None  # type: ignore[method-assign]
 
 
-# Those that only a start after another process shows.
+# Faults that show only at the start of a successor.
 AT_STARTS: dict[str, Callable[[], None]] = {
     "forgets its list": forgets_its_list,
     "takes everything for new": takes_everything_for_new,
