--- a/sprucenotch/rig/actions.py
+++ b/sprucenotch/rig/actions.py
@@ -1,5 +1,7 @@
-"""Carries faults out on a stage, and takes them back. Each tells the history what it touches, and until
-when."""
+"""Injects faults into a running testbed and heals them.
+
+The begin and the end of each are recorded in the history, with the processes and links that it affects.
+"""
 
 from __future__ import annotations
 
@@ -21,150 +23,153 @@
 from sprucenotch.rig.syscalls import SHORT, Call, Rule
 from sprucenotch.rig.truth import history
 
-LINKS_AT_ONCE = 16  # of some 70 us each
+LINKS_PER_BATCH = 16  # about 70 us each
 
 Heal: TypeAlias = Callable[[], Awaitable[None]]
 
 
-class Begun(NamedTuple):
-    befalls: tuple[str, ...]
-    hits: tuple[str, ...]  # processes and links whose doings prove nothing meanwhile
+class ActiveFault(NamedTuple):
+    """A fault in effect. Processes are given by name, links as "a>b"."""
+
+    affected: tuple[str, ...]
+    excused: tuple[str, ...]  # processes and links on which findings are excused while it lasts
     heal: Heal
 
 
 class Faults:
-    """Those that are on, each under a number of its own."""
+    """The faults in effect, each under its own number."""
 
     def __init__(self, stage: Stage) -> None:
         self.stage = stage
-        self.load = 1.0  # by what the usual load is multiplied
+        self.load = 1.0  # factor of the planned load
         self._number = 0
-        self._on: dict[int, tuple[str, Begun]] = {}
+        self._active: dict[int, tuple[str, ActiveFault]] = {}
         self._surges: dict[int, float] = {}
 
     async def begin(self, fault: Fault) -> int:
-        """Bring it about. One that ends by itself is over when this returns. Raises RigError."""
+        """Inject a fault and return its number; wait for a self-ending one. Raises RigError."""
         self._number += 1
         number, do = self._number, str(fault.__struct_config__.tag)
         rng = random.Random(f"{self.stage.seed} {number}")
-        begun = await self._begin(number, fault, rng)
-        self._on[number] = (do, begun)
-        self._tell(number, do, begun, True)
+        active_fault = await self._begin(number, fault, rng)
+        self._active[number] = (do, active_fault)
+        self._record(number, do, active_fault, True)
         if isinstance(fault, faults.SELF_ENDING):
             await self.heal(number)
         return number
 
     async def heal(self, number: int) -> None:
-        """Take it back, or wait for its end. One that is healed already stays so."""
-        if number in self._on:
-            do, begun = self._on.pop(number)
-            await begun.heal()
-            self._tell(number, do, begun, False)
+        """Undo a fault, or wait for its end. Does nothing if it is already healed."""
+        if number in self._active:
+            do, active_fault = self._active.pop(number)
+            await active_fault.heal()
+            self._record(number, do, active_fault, False)
 
     async def heal_all(self) -> None:
-        for number in tuple(self._on):
+        for number in tuple(self._active):
             await self.heal(number)
 
-    def _tell(self, number: int, do: str, begun: Begun, on: bool) -> None:
+    def _record(self, number: int, do: str, active_fault: ActiveFault, on: bool) -> None:
         self.stage.witness(
             history.Fault(
-                at=self.stage.now(), number=number, do=do, befalls=begun.befalls, hits=begun.hits, on=on
+                at=self.stage.now(), number=number, do=do, befalls=active_fault.affected,
+                hits=active_fault.excused, on=on,
             )
         )  # fmt: skip
 
-    async def _begin(self, number: int, fault: Fault, rng: random.Random) -> Begun:
+    async def _begin(self, number: int, fault: Fault, rng: random.Random) -> ActiveFault:
         if isinstance(fault, OnLinks):
             return await self._on_links(number, fault)
         if isinstance(fault, OnProcesses):
             return await self._on_processes(
-                fault, _part(chosen(fault.on, self.stage.plan.fleet), fault.share, rng)
+                fault, _sample(chosen(fault.on, self.stage.plan.fleet), fault.share, rng)
             )
         if isinstance(fault, faults.Discovery):
             return await self._on_discovery(fault)
         assert isinstance(fault, faults.Surge)
         return self._surge(number, fault)
 
-    async def _on_links(self, number: int, fault: OnLinks) -> Begun:
+    async def _on_links(self, number: int, fault: OnLinks) -> ActiveFault:
         pairs = links(fault, self.stage.plan.fleet)
-        hit, harm = [self.stage.wiring.links[pair] for pair in pairs], _harm(fault)
+        affected, link_fault = [self.stage.wiring.links[pair] for pair in pairs], _link_fault(fault)
 
         async def heal() -> None:
-            await _in_turns(hit, lambda link: link.heal(number))
+            await _in_batches(affected, lambda link: link.heal(number))
 
-        await _in_turns(hit, lambda link: link.harm(number, harm))
+        await _in_batches(affected, lambda link: link.harm(number, link_fault))
 
-        befalls = tuple(f"{source}>{target}" for source, target in pairs)
-        return Begun(befalls, befalls, heal)
+        names = tuple(f"{source}>{target}" for source, target in pairs)
+        return ActiveFault(names, names, heal)
 
-    async def _on_processes(self, fault: OnProcesses, hit: Sequence[str]) -> Begun:
+    async def _on_processes(self, fault: OnProcesses, targets: Sequence[str]) -> ActiveFault:
         stage = self.stage
         match fault:
             case faults.Pause():
-                return _on_children(stage, hit, lambda c: c.pause(), lambda c: c.resume())
+                return _on_children(stage, targets, lambda c: c.pause(), lambda c: c.resume())
             case faults.SlowCpu():
-                return _on_children(stage, hit, lambda c: c.slow(fault.cpu), lambda c: c.quicken())
+                return _on_children(stage, targets, lambda c: c.slow(fault.cpu), lambda c: c.quicken())
             case faults.WrongClock():
-                return _wrong_clocks(stage, fault, hit)
+                return _wrong_clocks(stage, fault, targets)
             case faults.Retune():
-                return await _retune(stage, fault, hit)
+                return await _retune(stage, fault, targets)
             case faults.Engines():
-                return await _trouble(stage, fault, hit)
+                return await _engine_trouble(stage, fault, targets)
             case faults.SystemCalls():
-                return _system_calls(stage, fault, hit)
+                return _system_calls(stage, fault, targets)
             case faults.ClockStep():
-                return _clock_step(stage, fault, hit)
+                return _clock_step(stage, fault, targets)
             case faults.Reload():
-                return _staggered(stage, hit, 0, lambda name: _reload(stage, fault, name))
+                return _staggered(stage, targets, 0, lambda name: _reload(stage, fault, name))
             case faults.RoughClients():
-                return _rough_clients(stage, fault, hit)
+                return _rough_clients(stage, fault, targets)
             case faults.Restart():
-                return _staggered(stage, hit, fault.stagger, lambda name: _restart(stage, fault, name))
+                return _staggered(stage, targets, fault.stagger, lambda name: _restart(stage, fault, name))
             case faults.Replace():
-                return _staggered(stage, hit, fault.stagger, lambda name: _replace(stage, fault, name))
+                return _staggered(stage, targets, fault.stagger, lambda name: _replace(stage, fault, name))
         raise AssertionError(fault)
 
-    async def _on_discovery(self, fault: faults.Discovery) -> Begun:
+    async def _on_discovery(self, fault: faults.Discovery) -> ActiveFault:
         discovery = self.stage.discovery
         if fault.behind:
             await discovery.behind(fault.behind / SECOND)
-            return Begun(("discovery",), (), lambda: discovery.behind(0.0))
+            return ActiveFault(("discovery",), (), lambda: discovery.behind(0.0))
         if fault.late:
             await discovery.late(fault.late / SECOND)
-            return Begun(("discovery",), (), lambda: discovery.late(0.0))
+            return ActiveFault(("discovery",), (), lambda: discovery.late(0.0))
         await discovery.die()
-        return Begun(("discovery",), ("discovery",), discovery.start)
+        return ActiveFault(("discovery",), ("discovery",), discovery.start)
 
-    def _surge(self, number: int, fault: faults.Surge) -> Begun:
+    def _surge(self, number: int, fault: faults.Surge) -> ActiveFault:
         self._surges[number] = float(fault.times)
-        self._settle()
+        self._update_load()
 
         async def heal() -> None:
             del self._surges[number]
-            self._settle()
+            self._update_load()
 
-        return Begun(("client",), (), heal)
+        return ActiveFault(("client",), (), heal)
 
-    def _settle(self) -> None:
+    def _update_load(self) -> None:
         self.load = 1.0
         for times in self._surges.values():
             self.load *= times
 
 
-async def _in_turns(hit: Sequence[Link], do: Callable[[Link], None]) -> None:
-    """Some links at a time, so that the load is not late for as long as hundreds of them take."""
-    for number, link in enumerate(hit, 1):
-        do(link)
-        if number % LINKS_AT_ONCE == 0:
+async def _in_batches(affected: Sequence[Link], change: Callable[[Link], None]) -> None:
+    """Apply it in batches, as hundreds of links in one turn of the event loop would delay the load."""
+    for number, link in enumerate(affected, 1):
+        change(link)
+        if number % LINKS_PER_BATCH == 0:
             await asyncio.sleep(0)
 
 
-def _part(names: Sequence[str], share: float, rng: random.Random) -> list[str]:
-    """At least one of them, in their order."""
-    drawn = set(rng.sample(names, max(1, round(share * len(names)))))
-    return [name for name in names if name in drawn]
+def _sample(names: Sequence[str], share: float, rng: random.Random) -> list[str]:
+    """A random sample of at least one name, in the given order."""
+    sampled = set(rng.sample(names, max(1, round(share * len(names)))))
+    return [name for name in names if name in sampled]
 
 
-def _harm(fault: OnLinks) -> LinkFault:
+def _link_fault(fault: OnLinks) -> LinkFault:
     match fault:
         case faults.Cut():
             return LinkFault(fault.way, cut=True)
@@ -185,11 +190,11 @@
 
 
 def _on_children(
-    stage: Stage, hit: Sequence[str], begin: Callable[..., None], end: Callable[..., None]
-) -> Begun:
-    """On the processes that are there now: one that is started meanwhile is another."""
+    stage: Stage, targets: Sequence[str], begin: Callable[..., None], end: Callable[..., None]
+) -> ActiveFault:
+    """Affect the processes that run now, not those started later under the same names."""
     children = []
-    for name in hit:
+    for name in targets:
         with contextlib.suppress(RigError):
             children.append(stage.child(name))
     for child in children:
@@ -200,43 +205,43 @@
             if child.alive:
                 end(child)
 
-    return Begun(tuple(hit), tuple(hit), heal)
+    return ActiveFault(tuple(targets), tuple(targets), heal)
 
 
-def _wrong_clocks(stage: Stage, fault: faults.WrongClock, hit: Sequence[str]) -> Begun:
-    wrong = {"offset_ns": int(fault.ahead) - int(fault.behind), "drift_ppm": fault.drift_ppm}
-    stage.clocks.update(dict.fromkeys(hit, wrong))
+def _wrong_clocks(stage: Stage, fault: faults.WrongClock, targets: Sequence[str]) -> ActiveFault:
+    clock = {"offset_ns": int(fault.ahead) - int(fault.behind), "drift_ppm": fault.drift_ppm}
+    stage.clocks.update(dict.fromkeys(targets, clock))
 
     async def heal() -> None:
-        for name in hit:
+        for name in targets:
             stage.clocks.pop(name, None)
 
-    return Begun(tuple(hit), (), heal)
+    return ActiveFault(tuple(targets), (), heal)
 
 
-def _system_calls(stage: Stage, fault: faults.SystemCalls, hit: Sequence[str]) -> Begun:
-    """None of these failures excuses a sidecar: all promises hold over them."""
+def _system_calls(stage: Stage, fault: faults.SystemCalls, targets: Sequence[str]) -> ActiveFault:
+    """Findings are not excused meanwhile: all guarantees hold in spite of these failures."""
     call = Call[fault.call.upper()]
     error = SHORT if fault.error == "short" else int(getattr(errno, fault.error))
-    for name in hit:
+    for name in targets:
         stage.controls[name].fail(Rule(call, error, fault.every))
 
     async def heal() -> None:
-        for name in hit:
+        for name in targets:
             stage.controls[name].heal(call)
 
-    return Begun(tuple(hit), (), heal)
+    return ActiveFault(tuple(targets), (), heal)
 
 
-def _clock_step(stage: Stage, fault: faults.ClockStep, hit: Sequence[str]) -> Begun:
-    for name in hit:
+def _clock_step(stage: Stage, fault: faults.ClockStep, targets: Sequence[str]) -> ActiveFault:
+    for name in targets:
         stage.controls[name].step_wall_clock(int(fault.ahead) - int(fault.behind))
 
     async def heal() -> None:
-        for name in hit:
+        for name in targets:
             stage.controls[name].step_wall_clock(0)
 
-    return Begun(tuple(hit), (), heal)
+    return ActiveFault(tuple(targets), (), heal)
 
 
 async def _reload(stage: Stage, fault: faults.Reload, name: str) -> None:
@@ -244,68 +249,68 @@
         if fault.broken:
             stage.cut_off_configuration(name)
         await asyncio.sleep(fault.gap / SECOND)
-        others = stage.plan.fleet.attempts + 1
-        await stage.retune(name, None if number == 1 else others if number % 2 else None)
+        other_attempts = stage.plan.fleet.attempts + 1
+        await stage.retune(name, None if number == 1 else other_attempts if number % 2 else None)
         await asyncio.sleep(fault.gap / SECOND)
 
 
-def _rough_clients(stage: Stage, fault: faults.RoughClients, hit: Sequence[str]) -> Begun:
+def _rough_clients(stage: Stage, fault: faults.RoughClients, targets: Sequence[str]) -> ActiveFault:
     rough = RoughClients(stage.plan, stage.witness, stage.origin, stage.seed)
-    dials = {name: stage.dial(name) for name in hit}
+    dials = {name: stage.dial(name) for name in targets}
     task = asyncio.ensure_future(rough.run(fault.how, dials, float(fault.per_second), stage.lives))
 
     async def heal() -> None:
         task.cancel()
         await rough.finish()
 
-    return Begun(tuple(hit), (), heal)
+    return ActiveFault(tuple(targets), (), heal)
 
 
-async def _retune(stage: Stage, fault: faults.Retune, hit: Sequence[str]) -> Begun:
-    async def turn(attempts: int | None) -> None:
-        for name in hit:
+async def _retune(stage: Stage, fault: faults.Retune, targets: Sequence[str]) -> ActiveFault:
+    async def set_attempts(attempts: int | None) -> None:
+        for name in targets:
             async with stage.locks[name]:
                 await stage.retune(name, attempts)
 
-    await turn(fault.attempts)
-    return Begun(tuple(hit), (), lambda: turn(None))
+    await set_attempts(fault.attempts)
+    return ActiveFault(tuple(targets), (), lambda: set_attempts(None))
 
 
-async def _trouble(stage: Stage, fault: faults.Engines, hit: Sequence[str]) -> Begun:
-    async def turn(name: str, on: bool) -> None:
-        one, held = stage.engines[name], (name, fault.trouble)
-        stage.troubles[held] += 1 if on else -1
-        if stage.troubles[held] != int(on):  # another fault holds it there
+async def _engine_trouble(stage: Stage, fault: faults.Engines, targets: Sequence[str]) -> ActiveFault:
+    async def set_trouble(name: str, on: bool) -> None:
+        engine, key = stage.engines[name], (name, fault.trouble)
+        stage.troubles[key] += 1 if on else -1
+        if stage.troubles[key] != int(on):  # another fault with the same effect is active
             return
         if fault.trouble == "dead":
             async with stage.locks[name]:
                 await (stage.engine_ends(name) if on else stage.engine_starts(name))
         elif fault.trouble == "slow":
-            await one.tune(slower=fault.times if on else 1.0)
+            await engine.tune(slower=fault.times if on else 1.0)
         else:
-            await one.tune(**{fault.trouble: on})
+            await engine.tune(**{fault.trouble: on})
 
-    for name in hit:
-        await turn(name, True)
+    for name in targets:
+        await set_trouble(name, True)
 
     async def heal() -> None:
-        for name in hit:
-            await turn(name, False)
+        for name in targets:
+            await set_trouble(name, False)
 
-    return Begun(tuple(hit), (), heal)
+    return ActiveFault(tuple(targets), (), heal)
 
 
 def _staggered(
-    stage: Stage, hit: Sequence[str], stagger: float, one: Callable[[str], Awaitable[None]]
-) -> Begun:
-    """One after the other, each so much after the one before; healed once all are through."""
+    stage: Stage, targets: Sequence[str], stagger: float, action: Callable[[str], Awaitable[None]]
+) -> ActiveFault:
+    """Run the action on one process after another, `stagger` nanoseconds apart; healing waits for all."""
 
     async def later(number: int, name: str) -> None:
         await asyncio.sleep(number * stagger / SECOND)
         async with stage.locks[name]:
-            await one(name)
+            await action(name)
 
-    tasks = [asyncio.ensure_future(later(number, name)) for number, name in enumerate(hit)]
+    tasks = [asyncio.ensure_future(later(number, name)) for number, name in enumerate(targets)]
 
     async def heal() -> None:
         try:
@@ -315,7 +320,7 @@
             for task in tasks:
                 task.cancel()
 
-    return Begun(tuple(hit), (), heal)
+    return ActiveFault(tuple(targets), (), heal)
 
 
 async def _restart(stage: Stage, fault: faults.Restart, name: str) -> None:
--- a/sprucenotch/rig/cuts.py
+++ b/sprucenotch/rig/cuts.py
@@ -1,11 +1,10 @@
-"""Power cuts at every operation of a store's workload: what a start finds, against what was promised.
+"""Power cuts at every operation of a store's workload: checks that recovery meets the durability guarantees.
 
     python -m sprucenotch.rig.cuts [SEEDS]
 
-Appends, syncs and compactions run on the model of a disk that loses power after the n-th operation, for
-every n, with as many outcomes of each cut as there are seeds; then the same befalls the start that
-follows. Afterwards there must be a start, its records a prefix of what was appended, and no shorter than
-the mode promises.
+Appends, syncs and compactions run on a model of a disk that loses power after the n-th operation, for every
+n, with one outcome of each cut per seed; then the first start after the cut loses power too. The next start
+must succeed, and its records must be a prefix of those appended, with all that the mode guarantees.
 """
 
 from __future__ import annotations
@@ -25,22 +24,22 @@
 FORGOTTEN = ("sync", "sync names", "checksum")
 OWNER, SCHEMA, NOW = Owner("cuts", "one"), Schema(1, bytes), 10**18
 APPENDS = 14
-KILLED = (7, 11)  # before these the process ends, however it does, and another goes on
-LONG = 700  # bytes: records that reach over sectors
+KILLED_BEFORE = (7, 11)  # appends before which the process is killed and another one continues
+RECORD_SIZE = 700  # bytes, so that records cross sector boundaries
 
 
 class PowerCut(Exception):
-    """Nothing after this operation was done."""
+    """Power was lost before this operation."""
 
 
-class Cut:
-    """A disk that works for so many operations more, and may forget one kind of them."""
+class PowerCutDisk:
+    """A disk that loses power after a number of operations, and may skip one kind of them."""
 
     def __init__(self, volume: Volume, operations: int, forgotten: str = "") -> None:
         self._volume, self._left, self._forgotten = volume, operations, forgotten
 
-    def spend(self, operation: str) -> bool:
-        """Whether to carry it out. Raises PowerCut."""
+    def take_operation(self, operation: str) -> bool:
+        """Count an operation; return whether to perform it. Raises PowerCut when none is left."""
         if self._left <= 0:
             raise PowerCut
         self._left -= 1
@@ -53,15 +52,15 @@
         return self._volume.read(name)
 
     def open(self, name: str, anew: bool = False) -> File:
-        self.spend("open")
-        return _CutFile(self, self._volume.open(name, anew))
+        self.take_operation("open")
+        return _PowerCutFile(self, self._volume.open(name, anew))
 
     def rename(self, old: str, new: str) -> None:
-        self.spend("rename")
+        self.take_operation("rename")
         self._volume.rename(old, new)
 
     def remove(self, name: str) -> None:
-        self.spend("remove")
+        self.take_operation("remove")
         self._volume.remove(name)
 
     def lock(self, name: str) -> None:
@@ -71,107 +70,109 @@
         self._volume.unlock()
 
     def sync_names(self) -> None:
-        if self.spend("sync names"):
+        if self.take_operation("sync names"):
             self._volume.sync_names()
 
 
-class _CutFile:
-    def __init__(self, disk: Cut, file: File) -> None:
+class _PowerCutFile:
+    def __init__(self, disk: PowerCutDisk, file: File) -> None:
         self._disk, self._file = disk, file
 
     def write(self, data: bytes) -> None:
-        self._disk.spend("write")
+        self._disk.take_operation("write")
         self._file.write(data)
 
     def sync(self) -> None:
-        if self._disk.spend("sync"):
+        if self._disk.take_operation("sync"):
             self._file.sync()
 
     def truncate(self, size: int) -> None:
-        self._disk.spend("truncate")
+        self._disk.take_operation("truncate")
         self._file.truncate(size)
 
     def close(self) -> None:
         self._file.close()
 
 
-def record(number: int) -> bytes:
-    return b"%d " % number * (LONG // len(b"%d " % number))
+def record_bytes(number: int) -> bytes:
+    return b"%d " % number * (RECORD_SIZE // len(b"%d " % number))
 
 
 class Progress:
-    """What a workload has done by the time that it is cut."""
+    """The progress of a workload up to the power cut."""
 
     def __init__(self) -> None:
         self.appended: list[bytes] = []
-        self.promised = 0  # records
-        self.over = False
+        self.promised = 0  # records that must survive
+        self.finished = False
 
 
-def work(disk: Cut, mode: Mode, did: Progress) -> None:
+def run_workload(disk: PowerCutDisk, mode: Mode, progress: Progress) -> None:
     store = open_store(disk, OWNER, SCHEMA, NOW, mode).store
     steps: Iterator[None] = iter(())
     for number in range(APPENDS):
-        if number in KILLED:  # what it had not synced is still there, and not durable
+        if number in KILLED_BEFORE:  # data not synced stays visible, but is not durable
             disk.unlock()
             store, steps = open_store(disk, OWNER, SCHEMA, NOW, mode).store, iter(())
         if number % 5 == 4:
-            steps = store.compact(list(did.appended), NOW)
-        did.appended.append(record(number))
-        store.append(did.appended[-1])
+            steps = store.compact(list(progress.appended), NOW)
+        progress.appended.append(record_bytes(number))
+        store.append(progress.appended[-1])
         if mode == "always":
-            did.promised = len(did.appended)
+            progress.promised = len(progress.appended)
         next(steps, None)
         if number % 4 == 3:
             store.sync()
             if mode != "none":
-                did.promised = len(did.appended)
-    did.over = True
+                progress.promised = len(progress.appended)
+    progress.finished = True
 
 
 class Explored(NamedTuple):
+    """The cases tried and the violations found."""
+
     cases: int
-    broken: list[str]  # what was found to be wrong, by mode, cut and seed
+    broken: list[str]  # a line each, with mode, cut and seed
 
 
 def explore(mode: Mode, seeds: Iterable[int], forgotten: str = "") -> Explored:
-    """All cuts of the workload, and of the start after each, with these outcomes."""
+    """Cut power at each operation of the workload and in the start after it, with these seeds."""
     cases, broken, seeds = 0, list[str](), tuple(seeds)
-    with _unchecked() if forgotten == "checksum" else contextlib.nullcontext():
+    with _without_checksums() if forgotten == "checksum" else contextlib.nullcontext():
         for at in range(10_000):
-            over = False
+            finished = False
             for seed in seeds:
-                did, volume = Progress(), Volume()
+                progress, volume = Progress(), Volume()
                 with contextlib.suppress(PowerCut):
-                    work(Cut(volume, at, forgotten), mode, did)
+                    run_workload(PowerCutDisk(volume, at, forgotten), mode, progress)
                 volume.crash(seed)
                 with contextlib.suppress(PowerCut):  # the first start loses power as well
-                    open_store(Cut(volume, seed % 13, forgotten), OWNER, SCHEMA, NOW, mode)
+                    open_store(PowerCutDisk(volume, seed % 13, forgotten), OWNER, SCHEMA, NOW, mode)
                 volume.crash(seed + 1)
                 cases += 1
-                over |= did.over
-                if (wrong := _judge(volume, did)) is not None:
+                finished |= progress.finished
+                if (wrong := _violation(volume, progress)) is not None:
                     broken.append(f"{mode}, cut after {at}, seed {seed}: {wrong}")
-            if over:
+            if finished:
                 return Explored(cases, broken)
     raise AssertionError("the workload does not end")
 
 
-def _judge(volume: Volume, did: Progress) -> str | None:
+def _violation(volume: Volume, progress: Progress) -> str | None:
     opened = open_store(volume, OWNER, SCHEMA, NOW)
     kept = list(opened.found.records)
     if opened.problem:
-        return f"no start: {opened.problem}"
-    if kept != did.appended[: len(kept)]:
-        return f"{len(kept)} records are no prefix of the {len(did.appended)} appended"
-    if len(kept) < did.promised:
-        return f"{len(kept)} records, where {did.promised} were promised"
+        return f"the store cannot be opened: {opened.problem}"
+    if kept != progress.appended[: len(kept)]:
+        return f"{len(kept)} records are not a prefix of the {len(progress.appended)} appended"
+    if len(kept) < progress.promised:
+        return f"{len(kept)} records, but {progress.promised} were guaranteed"
     return None
 
 
 @contextlib.contextmanager
-def _unchecked() -> Iterator[None]:
-    """Checksums that say nothing."""
+def _without_checksums() -> Iterator[None]:
+    """Disable checksums: all are 0."""
     kept, frame.checksum = frame.checksum, lambda sequence, payload: 0
     try:
         yield
@@ -188,7 +189,7 @@
         print(f"{mode}: {found.cases} cases, {len(found.broken)} broken", *found.broken[:5], sep="\n  ")
     for forgotten in FORGOTTEN:
         found = explore("always", seeds, forgotten)
-        print(f"without {forgotten}: {len(found.broken)} of {found.cases} cases are found")
+        print(f"without {forgotten}: {len(found.broken)} of {found.cases} cases are detected as broken")
         wrong += not found.broken
     return int(wrong > 0)
 
--- a/sprucenotch/rig/faults.py
+++ b/sprucenotch/rig/faults.py
@@ -1,8 +1,8 @@
-"""The faults that a plan can bring, as values. What carries them out is `actions.py`.
+"""The faults that a plan can contain. `actions.py` injects them.
 
-`on` names processes by pattern: `sidecar-0`, `sidecar-*`, `engine-[0-2]`, `engine-*@south` for those of a
-zone, `discovery`. `share` takes that part of them, drawn by the seed. Links go from `source` to `target`,
-patterns as well; clients are `client`. Times are in nanoseconds, as in all settings.
+`on` is a pattern of process names: `sidecar-0`, `sidecar-*`, `engine-[0-2]`, `engine-*@south` for a zone,
+`discovery`. `share` selects a random part of them, determined by the seed. Links go from `source` to
+`target`, which are patterns too; clients are `client`. Times are in nanoseconds, as in all settings.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from sprucenotch.settings import Share, Span, Time
 
-Part: TypeAlias = Annotated[float, Meta(gt=0, le=1, description="a share above 0, at most 1")]
-Chance: TypeAlias = Annotated[float, Meta(ge=0, le=1, description="a share from 0 to 1")]
-Bytes: TypeAlias = Annotated[
+PositiveShare: TypeAlias = Annotated[float, Meta(gt=0, le=1, description="a share above 0, at most 1")]
+Probability: TypeAlias = Annotated[float, Meta(ge=0, le=1, description="a share from 0 to 1")]
+ByteCount: TypeAlias = Annotated[
     Annotated[int, Meta(ge=0)], Meta(description="a size such as 64kB", extra={"unit": "B"})
 ]
 Pattern: TypeAlias = Annotated[str, Meta(min_length=1, description="a pattern such as sidecar-*")]
@@ -23,15 +23,19 @@
 
 
 class Fault(Struct, frozen=True, kw_only=True, tag_field="do", tag=str.lower):
-    """Something that goes wrong and is healed later."""
+    """A failure that is healed later, or ends by itself."""
 
 
 class OnProcesses(Fault, frozen=True, kw_only=True, tag=None):
+    """A fault of processes."""
+
     on: Pattern
-    share: Part = 1
+    share: PositiveShare = 1
 
 
 class OnLinks(Fault, frozen=True, kw_only=True, tag=None):
+    """A fault of network links between processes."""
+
     source: Pattern
     target: Pattern
     way: Directions = "both"
@@ -42,15 +46,15 @@
 
     how: Annotated[
         Literal["kill", "term", "upgrade", "power"], Meta(description="kill, term, upgrade or power")
-    ] = "kill"  # upgrade: a successor beside it first, then SIGTERM; power: what is not durable is lost too
-    down: Span = 0  # between the end and the start
-    stagger: Span = 0  # between one process and the next
-    revision: str = ""  # of the program, from then on
+    ] = "kill"  # upgrade: start the successor, then SIGTERM; power: lose data that is not durable too
+    down: Span = 0  # time between the end and the start
+    stagger: Span = 0  # time between one process and the next
+    revision: str = ""  # of the program to start, if it changes
     knowing: Annotated[Literal["last", "first", "nothing"], Meta(description="last, first or nothing")] = (
-        "last"  # the list that it starts with: as it was last, as at the start of the run, or none
+        "last"  # the server list it starts with: the last one, the one at the start of the run, or none
     )
     configured: Annotated[Literal["now", "first"], Meta(description="now or first")] = (
-        "now"  # with the settings in force, or with those of the start of the run
+        "now"  # with the current settings, or those at the start of the run
     )
 
 
@@ -59,19 +63,19 @@
 
 
 class SlowCpu(OnProcesses, frozen=True, kw_only=True, tag="slow cpu"):
-    """Only this share of the time on a processor: stopped for the rest of each 20 ms."""
+    """Limits the share of processor time: the process is stopped for the rest of each 20 ms."""
 
-    cpu: Part = 0.2
+    cpu: PositiveShare = 0.2
 
 
 class Retune(OnProcesses, frozen=True, kw_only=True, tag="retune"):
-    """Other settings by SIGHUP, and the first ones again at the end."""
+    """Changes settings by SIGHUP, and restores the original ones at the end."""
 
     attempts: Annotated[int, Meta(ge=1, le=10, description="1 to 10")]
 
 
 class WrongClock(OnProcesses, frozen=True, kw_only=True, tag="wrong clock"):
-    """The wall clock that these processes read from their next start on."""
+    """A wrong wall clock, effective from the next start of the process."""
 
     ahead: Span = 0
     behind: Span = 0
@@ -79,7 +83,7 @@
 
 
 class SystemCalls(OnProcesses, frozen=True, kw_only=True, tag="system calls"):
-    """One of every so many system calls of a kind fails, or moves a single byte."""
+    """Every n-th system call of a kind fails, or transfers a single byte."""
 
     call: Annotated[
         Literal[
@@ -93,23 +97,23 @@
 
 
 class ClockStep(OnProcesses, frozen=True, kw_only=True, tag="clock step"):
-    """The wall clock jumps, and jumps back at the end; the monotonic clock runs on."""
+    """Steps the wall clock, and back at the end; the monotonic clock is unaffected."""
 
     ahead: Span = 0
     behind: Span = 0
 
 
 class Reload(OnProcesses, frozen=True, kw_only=True, tag="reload"):
-    """New configurations in a row by SIGHUP: other settings and the first ones in turn."""
+    """Repeated reloads by SIGHUP that alternate between changed and original settings."""
 
     times: Annotated[int, Meta(ge=1, le=20, description="1 to 20")] = 4
     gap: Span = 30_000_000
-    broken: bool = False  # between them, a file that is cut off
+    broken: bool = False  # truncate the configuration file before each reload
 
 
 class RoughClients(OnProcesses, frozen=True, kw_only=True, tag="clients"):
-    """Clients of these sidecars that write slowly, leave before their answer, stop within a request and stay,
-    hold idle connections, or send several requests at once."""
+    """Clients that write slowly, leave before the answer, stop writing within a request, keep idle
+    connections, or send several requests at once."""
 
     how: Annotated[
         Literal["slow", "leaving", "stuck", "idle", "pipelined"],
@@ -119,38 +123,44 @@
 
 
 class Cut(OnLinks, frozen=True, kw_only=True, tag="cut"):
-    """Silence: nothing passes, nothing comes up, nobody is told."""
+    """No data passes and no connection is established; the ends get no error."""
 
 
 class Delay(OnLinks, frozen=True, kw_only=True, tag="delay"):
+    """Data arrives later."""
+
     by: Span
     jitter: Span = 0
 
 
 class Rate(OnLinks, frozen=True, kw_only=True, tag="rate"):
-    per_second: Bytes
+    """Limits the throughput."""
+
+    per_second: ByteCount
 
 
 class Reset(OnLinks, frozen=True, kw_only=True, tag="reset"):
-    """Each connection, once it has passed so much more, and each after it."""
+    """Resets each connection, open or new, once it has carried `after` more bytes."""
 
-    after: Bytes = 0
+    after: ByteCount = 0
 
 
 class HalfOpen(OnLinks, frozen=True, kw_only=True, tag="half open"):
-    """New connections are accepted and stay silent."""
+    """New connections are accepted, but nothing passes on them."""
 
 
 class Datagrams(OnLinks, frozen=True, kw_only=True, tag="datagrams"):
-    lost: Chance = 0
-    doubled: Chance = 0
-    overtaken: Chance = 0
+    """Datagrams are lost, duplicated or reordered, with these probabilities."""
+
+    lost: Probability = 0
+    doubled: Probability = 0
+    overtaken: Probability = 0
     by: Span = 0
 
 
 class Engines(OnProcesses, frozen=True, kw_only=True, tag="engines"):
-    """Trouble of the engines themselves: they work slower, answer 500, die, go silent, answer a second time
-    some milliseconds later, answer nonsense, or never end their answers."""
+    """Failures of the engines: they work slower, answer 500, die, never answer, answer a second time some
+    milliseconds later, send invalid answers, or never end their answers."""
 
     trouble: Annotated[
         Literal["slow", "failing", "dead", "silent", "twice", "nonsense", "endless"],
@@ -160,20 +170,22 @@
 
 
 class Replace(OnProcesses, frozen=True, kw_only=True, tag="replace"):
-    """Drain engines, end each after the notice, and start new cold ones in their places."""
+    """Drain engines, stop each after the notice, and start cold replacements."""
 
     stagger: Span = 0
     notice: Time = 1_000_000_000
 
 
 class Discovery(Fault, frozen=True, kw_only=True, tag="discovery"):
-    """Down, or its answers late by so much, or in its place a replica that is so far behind."""
+    """Discovery is down; or it answers late; or a replica that is behind takes its place."""
 
     late: Span = 0
     behind: Span = 0
 
 
 class Surge(Fault, frozen=True, kw_only=True, tag="surge"):
+    """Multiplies the load."""
+
     times: Share = 3
 
 
@@ -184,4 +196,4 @@
         Replace, Discovery, Surge, SystemCalls, ClockStep, Reload, RoughClients,
     )
 }  # fmt: skip
-SELF_ENDING = (Restart, Replace, Reload)  # they last as long as they take
+SELF_ENDING = (Restart, Replace, Reload)  # have no duration in a plan
--- a/sprucenotch/rig/hunt/__init__.py
+++ b/sprucenotch/rig/hunt/__init__.py
@@ -1,1 +1,1 @@
-"""The hunt: runs with faults that overlap, drawn by seed; what they break is made smaller and told."""
+"""The hunt: runs with overlapping faults drawn by seed; failing schedules are reduced and reported."""
--- a/sprucenotch/rig/hunt/campaign.py
+++ b/sprucenotch/rig/hunt/campaign.py
@@ -1,4 +1,4 @@
-"""Many runs of the hunt, each a process of its own that writes to one store; what they found, added up."""
+"""Runs many drawn schedules, each in its own process with a common store, and sums up the results."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from sprucenotch.rig.sweep import Failed, Job
 from sprucenotch.rig.truth.ledger import Finding
 
-DEAD = "ended or did not start"  # the rule that a run breaks which cannot go on
-CRASHED = "the testbed crashed"  # no find: the run proves nothing
-MAX_EXCUSED = 0.2  # share of what a rule judges; above, the rule has a hole
+ENDED_EARLY = "ended or did not start"  # the rule broken by a run that cannot continue
+CRASHED = "the testbed crashed"  # not a find, as the program is not at fault
+MAX_EXCUSED = 0.2  # share of excused cases above which a rule counts as insufficiently checked
 
 
 class Find(NamedTuple):
@@ -32,11 +32,11 @@
 
 
 class Total(Struct):
-    """Of all runs that count."""
+    """Sums over all valid runs."""
 
     runs: int = 0
-    late: int = 0  # do not count: the rig did not keep up
-    not_played: Counter[str] = field(default_factory=Counter)  # to their end, by reason
+    late: int = 0  # not valid: the testbed did not keep up
+    not_played: Counter[str] = field(default_factory=Counter)  # runs that did not complete, by reason
     seconds: float = 0.0
     requests: int = 0
     faults: Counter[str] = field(default_factory=Counter)
@@ -56,14 +56,14 @@
         self.excused.update(result.excused)
 
     def holes(self) -> list[str]:
-        """Rules that were excused too often to have been judged."""
+        """Rules with too large a share of excused cases."""
         return [
             rule for rule, count in self.excused.items() if count > MAX_EXCUSED * (count + self.judged[rule])
         ]
 
 
 class Campaign:
-    """Plays schedules of a length, so many side by side, with sidecars started by `command`."""
+    """Plays schedules of a given length, `jobs` at a time, with sidecars started by `command`."""
 
     def __init__(
         self, store: Path, folder: Path, length: float, jobs: int, command: str = "", trace: bool = False
@@ -75,7 +75,7 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def job(self, planned: Schedule, name: str) -> Job:
-        """What plays it; its plan is left in the folder under that name."""
+        """The job that plays a schedule; its plan is written to the folder under that name."""
         if self._trace:
             planned = structs.replace(planned, fleet={**planned.fleet, "log": "debug"})
         path, text = self._folder / f"{name}.toml", planned.text()
@@ -86,14 +86,16 @@
         return [self.job(schedule(seed, self._length), f"hunt-{seed}") for seed in seeds]
 
     async def play(self, seeds: Sequence[int], each: Callable[[Job], None]) -> list[Failed]:
-        """Play those that are not in the store yet; those that could not go on to their end are returned.
-        Raises KeyboardInterrupt, with what is done kept."""
+        """Play the seeds that are not in the store yet; return the runs that did not complete.
+
+        Raises KeyboardInterrupt; completed runs stay in the store.
+        """
         with Store(self._store) as store:
             left = sweep.open_jobs(store, self.jobs(seeds))
         return await sweep.run(self._store, left, self._jobs, each, self._folder / "failed")
 
     def rows(self, seeds: Sequence[int]) -> list[Row]:
-        """The last run of each seed, also one that does not count."""
+        """The last run of each seed, valid or not."""
         with Store(self._store) as store:
             last = {}
             for job in self.jobs(seeds):
@@ -102,37 +104,37 @@
         return list(last.values())
 
     async def breaks(self, planned: Sequence[Schedule], rule: str) -> list[bool]:
-        """Play each once; whether it broke that rule."""
+        """Play each schedule once; return for each whether it broke the rule."""
         jobs = [self.job(one, f"trial-{next(self._trials)}") for one in planned]
         store = self._folder / f"trials-{jobs[0].plan.rpartition('-')[2]}.sqlite"
-        # Each is a job of its own, also where two are the same schedule.
+        # Equal schedules are played as separate jobs.
         failed = await sweep.run(store, jobs, self._jobs, lambda job: None)
-        broken = {one.job.plan for one in failed if not one.crashed} if rule == DEAD else set[str]()
+        broken = {one.job.plan for one in failed if not one.crashed} if rule == ENDED_EARLY else set[str]()
         with Store(store) as kept:
             rows = list(kept.rows())
         counts = Counter(row.plan for row in rows if any(f.rule == rule for f in row.result.findings))
         outcomes = []
         for job in jobs:
-            hit = job.plan in broken or counts[job.source] > 0
+            rule_broken = job.plan in broken or counts[job.source] > 0
             counts[job.source] -= counts[job.source] > 0
-            outcomes.append(hit)
+            outcomes.append(rule_broken)
         return outcomes
 
     async def shrink(self, seed: int, rule: str) -> Shrunk:
-        """Make the schedule of that seed smaller while it breaks that rule."""
+        """Reduce the schedule of a seed as long as it still breaks the rule."""
 
-        async def broken(planned: Sequence[Schedule]) -> Sequence[bool]:
+        async def breaks_rule(planned: Sequence[Schedule]) -> Sequence[bool]:
             return await self.breaks(planned, rule)
 
-        return await shrink(schedule(seed, self._length), broken)
+        return await shrink(schedule(seed, self._length), breaks_rule)
 
     async def rate(self, planned: Schedule, rule: str, times: int) -> int:
-        """In how many of so many plays it breaks the rule."""
+        """The number of plays, out of `times`, in which a schedule breaks the rule."""
         return sum(await self.breaks([planned] * times, rule))
 
 
 def finds(rows: Sequence[Row], failed: Sequence[Failed]) -> list[Find]:
-    """What was broken, by seed and rule. A run in which the rig was late proves nothing against a process."""
+    """Broken rules by seed. Runs in which the testbed did not keep up are left out."""
     found = []
     for row in rows:
         if not row.counts:
@@ -142,14 +144,15 @@
             by_rule.setdefault(finding.rule, []).append(finding)
         found += [Find(row.result.seed, rule, all_[0], len(all_)) for rule, all_ in by_rule.items()]
     for one in (one for one in failed if not one.crashed):
-        found.append(Find(one.job.seed, DEAD, Finding(DEAD, "", 0.0, one.said), 1))
+        found.append(Find(one.job.seed, ENDED_EARLY, Finding(ENDED_EARLY, "", 0.0, one.said), 1))
     return sorted(found, key=lambda find: find.seed)
 
 
 def total(rows: Sequence[Row], failed: Sequence[Failed] = ()) -> Total:
+    """Sum up all runs."""
     added = Total()
     for one in failed:
-        added.not_played[CRASHED if one.crashed else DEAD] += 1
+        added.not_played[CRASHED if one.crashed else ENDED_EARLY] += 1
     for row in rows:
         added.add(row)
     return added
--- a/sprucenotch/rig/hunt/draw.py
+++ b/sprucenotch/rig/hunt/draw.py
@@ -1,6 +1,6 @@
-"""Draws a schedule by seed: a fleet, and faults of different kinds that lie over each other.
+"""Draws a schedule by seed: a fleet, and overlapping faults of different kinds.
 
-A pure function of seed and length. A schedule is written as a plan (`rig check`, `rig run` take it too).
+A pure function of seed and length. A schedule is written as a plan, which `rig check` and `rig run` accept.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 from msgspec import Struct, structs
 
-FIRST_FAULT = 1.5  # seconds after the first request
-EVERY = 3.2  # seconds between two groups of faults that overlap
-CALM = 3.0  # seconds at the end without new faults
-SPREAD = 0.8  # seconds within which the faults of a group begin
+FIRST_FAULT_AT = 1.5  # seconds after the first request
+GROUP_INTERVAL = 3.2  # seconds between two groups of faults that overlap
+QUIET_PERIOD = 3.0  # seconds without new faults at the end
+GROUP_SPREAD = 0.8  # seconds within which the faults of a group begin
 MIN_SIDECARS, MAX_SIDECARS = 10, 14
 MIN_ENGINES, MAX_ENGINES = 8, 12
 
@@ -24,7 +24,7 @@
 
 
 class Schedule(Struct, frozen=True):
-    """What a run of the hunt plays."""
+    """A drawn plan: the fleet, the load and the faults."""
 
     seed: int
     length: float  # seconds
@@ -33,7 +33,7 @@
     steps: Sequence[Table]
 
     def text(self) -> str:
-        """It as a plan in TOML."""
+        """The schedule as a plan in TOML."""
         lines = [
             f'title = "hunt, seed {self.seed}"', f'length = "{self.length:g}s"', 'settle = "1500ms"',
             f"fleet = {_inline(self.fleet)}", f"load = {_inline(self.load)}", "classes = [",
@@ -43,7 +43,7 @@
         return "\n".join(lines) + "\n"
 
     def without(self, number: int) -> Schedule:
-        """The same, less one of its faults."""
+        """A copy without one of the faults."""
         return structs.replace(self, steps=[s for n, s in enumerate(self.steps) if n != number])
 
 
@@ -57,7 +57,7 @@
 
 
 def kind(step: Table) -> str:
-    """What a step of a schedule does, in words such as "system calls accept"."""
+    """The kind of a step's fault, such as "system calls accept"."""
     if step["do"] == "discovery":
         return f"discovery {next((word for word in ('late', 'behind') if word in step), 'down')}"
     what = step.get("call") or step.get("how") or step.get("trouble") or ""
@@ -69,7 +69,7 @@
 
 
 def schedule(seed: int, length: float) -> Schedule:
-    """The one of that seed, of so many seconds."""
+    """Draw the schedule of a seed, `length` seconds long."""
     rng = random.Random(f"hunt {seed}")
     fleet = {
         "sidecars": rng.randint(MIN_SIDECARS, MAX_SIDECARS),
@@ -88,35 +88,38 @@
         "churn": 0.25,
     }
     steps: list[dict[str, Any]] = []
-    at = FIRST_FAULT + rng.uniform(0, 1)
-    while at < length - CALM:
-        steps += _group(rng, at, length - CALM / 2, str(fleet["state"]))
-        at += EVERY * rng.uniform(0.8, 1.3)
+    at = FIRST_FAULT_AT + rng.uniform(0, 1)
+    while at < length - QUIET_PERIOD:
+        steps += _group(rng, at, length - QUIET_PERIOD / 2, str(fleet["state"]))
+        at += GROUP_INTERVAL * rng.uniform(0.8, 1.3)
     return Schedule(seed, length, fleet, load, steps)
 
 
 def _group(rng: random.Random, at: float, end: float, state: str) -> list[dict[str, Any]]:
-    """Two or three faults of different kinds that overlap."""
+    """Draw two or three overlapping faults of different families."""
     drawn = []
     for name in rng.sample(sorted(FAMILIES), rng.choice((2, 3, 3))):
         family = FAMILIES[name]
         step = rng.choice(family)(rng)
         if step.get("how") == "power" and state != "folder":
             step["how"] = "kill"
-        begins = at + rng.uniform(0, SPREAD)
+        begins = at + rng.uniform(0, GROUP_SPREAD)
         step["at"] = f"{begins * 1000:.0f}ms"
         if step["do"] not in ("restart", "replace", "reload"):
             lasts = min(step.pop("for", rng.uniform(0.6, 3.0)), end - begins)
             step["lasts"] = f"{max(lasts, 0.1) * 1000:.0f}ms"
         drawn.append(step)
-    return _possible(drawn)
+    return _drop_indistinguishable(drawn)
 
 
-def _possible(drawn: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Without links that hold a second answer back for longer than the terms have it (some milliseconds): no
-    answer tells whose it is, so that one which comes later cannot be told from the next one's."""
-    twice = any(step.get("trouble") == "twice" for step in drawn)
-    return [step for step in drawn if not (twice and step["do"] == "delay")]
+def _drop_indistinguishable(drawn: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Drop link delays where engines answer twice.
+
+    An answer does not name its request, so a second answer that is delayed for longer than the few
+    milliseconds in the rules cannot be distinguished from the next answer on the connection.
+    """
+    answers_twice = any(step.get("trouble") == "twice" for step in drawn)
+    return [step for step in drawn if not (answers_twice and step["do"] == "delay")]
 
 
 def _restart(how: str) -> Draw:
@@ -154,7 +157,7 @@
     return lambda rng: dict(step)
 
 
-# By family; the faults of a group are of different ones.
+# Fault generators by family; the faults of a group come from different families.
 FAMILIES: dict[str, tuple[Draw, ...]] = {
     "end": (
         _restart("kill"), _restart("term"), _restart("term"), _restart("upgrade"), _restart("upgrade"),
--- a/sprucenotch/rig/hunt/shrink.py
+++ b/sprucenotch/rig/hunt/shrink.py
@@ -1,8 +1,7 @@
-"""Makes a schedule that breaks a rule smaller: fewer faults, fewer processes, a shorter run.
+"""Reduces a schedule that breaks a rule: fewer faults, fewer processes, a shorter run.
 
-Real processes do not repeat exactly, so each candidate is played a few times, and stays if any play breaks
-the
-rule again. Playing is the caller's: a batch of schedules at once, as they may run side by side.
+Runs of real processes are not deterministic, so each candidate is played a few times, and accepted if any
+play breaks the rule again. The caller plays the schedules, in batches so that they can run concurrently.
 """
 
 from __future__ import annotations
@@ -14,41 +13,41 @@
 
 from sprucenotch.rig.hunt.draw import Schedule
 
-TRIES = 2  # plays of a candidate
-MAX_PLAYS = 60  # of one schedule in all
+PLAYS_PER_CANDIDATE = 2
+MAX_PLAYS = 60  # in all, to reduce one schedule
 MIN_LENGTH = 8.0  # seconds
-TAIL = 4.0  # seconds after the last fault has begun
-MIN_PROCESSES = 4  # sidecars, and engines
+MIN_TIME_AFTER_FAULTS = 4.0  # seconds after the end of the last fault
+MIN_PROCESSES = 4  # of sidecars and of engines
 
-Broken: TypeAlias = Callable[[Sequence[Schedule]], Awaitable[Sequence[bool]]]
+BreaksRule: TypeAlias = Callable[[Sequence[Schedule]], Awaitable[Sequence[bool]]]
 
 
 class Shrunk(Struct, frozen=True):
-    """The smallest schedule found, and how many plays that took."""
+    """The smallest schedule found, and the number of plays used."""
 
     schedule: Schedule
     plays: int
 
 
 class _Plays:
-    def __init__(self, broken: Broken) -> None:
-        self._broken, self.count = broken, 0
+    def __init__(self, breaks_rule: BreaksRule) -> None:
+        self._breaks_rule, self.count = breaks_rule, 0
 
     async def breaking(self, candidates: Sequence[Schedule]) -> list[int]:
-        """The places of these that break the rule in any of their plays; none once the plays are used up."""
-        batch = [candidate for candidate in candidates for _ in range(TRIES)]
+        """The indexes of the candidates that break the rule in any play; none once all plays are used up."""
+        batch = [candidate for candidate in candidates for _ in range(PLAYS_PER_CANDIDATE)]
         if not batch or self.count + len(batch) > MAX_PLAYS:
             return []
         self.count += len(batch)
-        outcomes = await self._broken(batch)
-        return sorted({place // TRIES for place, broken in enumerate(outcomes) if broken})
+        outcomes = await self._breaks_rule(batch)
+        return sorted({index // PLAYS_PER_CANDIDATE for index, broken in enumerate(outcomes) if broken})
 
 
-async def shrink(schedule: Schedule, broken: Broken) -> Shrunk:
-    """`broken` plays schedules and says of each whether it broke the rule."""
-    plays = _Plays(broken)
+async def shrink(schedule: Schedule, breaks_rule: BreaksRule) -> Shrunk:
+    """Reduce a schedule. `breaks_rule` plays schedules and returns for each whether it broke the rule."""
+    plays = _Plays(breaks_rule)
     while len(schedule.steps) > 1:
-        smaller = await _half(schedule, plays) or await _fewer_faults(schedule, plays)
+        smaller = await _half_of_faults(schedule, plays) or await _fewer_faults(schedule, plays)
         if smaller is None:
             break
         schedule = smaller
@@ -59,8 +58,8 @@
     return Shrunk(schedule, plays.count)
 
 
-async def _half(schedule: Schedule, plays: _Plays) -> Schedule | None:
-    """The first or the last half of its faults, if either breaks the rule alone."""
+async def _half_of_faults(schedule: Schedule, plays: _Plays) -> Schedule | None:
+    """The schedule with one half of its faults, if that breaks the rule alone."""
     half = len(schedule.steps) // 2
     halves = [
         structs.replace(schedule, steps=schedule.steps[:half]),
@@ -71,7 +70,7 @@
 
 
 async def _fewer_faults(schedule: Schedule, plays: _Plays) -> Schedule | None:
-    """Without all faults of which each can be left out, if they can be so together; else without one."""
+    """The schedule without all faults that can be left out, if that breaks the rule; else without one."""
     needless = await plays.breaking([schedule.without(n) for n in range(len(schedule.steps))])
     if not needless:
         return None
@@ -83,6 +82,7 @@
 
 
 def _fewer_processes(schedule: Schedule) -> list[Schedule]:
+    """The schedule with half the processes, if it has enough."""
     fleet = dict(schedule.fleet)
     halved: dict[str, Any] = {name: max(MIN_PROCESSES, fleet[name] // 2) for name in ("sidecars", "engines")}
     if all(halved[name] == fleet[name] for name in halved):
@@ -91,11 +91,12 @@
 
 
 def _shorter(schedule: Schedule) -> list[Schedule]:
+    """The schedule cut after its last fault, if that is shorter."""
     ends = [_seconds(step["at"]) + _seconds(step.get("lasts", "0ms")) for step in schedule.steps]
-    length = max(MIN_LENGTH, max(ends, default=0.0) + TAIL)
+    length = max(MIN_LENGTH, max(ends, default=0.0) + MIN_TIME_AFTER_FAULTS)
     return [structs.replace(schedule, length=round(length, 1))] if length < schedule.length else []
 
 
 def _seconds(text: str) -> float:
-    """Of a time in milliseconds, as a schedule has them."""
+    """Convert a time in milliseconds, as schedules have them."""
     return float(text.removesuffix("ms")) / 1000
--- a/sprucenotch/rig/play.py
+++ b/sprucenotch/rig/play.py
@@ -1,4 +1,4 @@
-"""Plays a plan: the stage, the load, the faults at their times, and the ledger at the end."""
+"""Runs a plan: starts processes, sends load, injects faults, and checks the recorded history."""
 
 from __future__ import annotations
 
@@ -26,30 +26,32 @@
 from sprucenotch.rig.summary import Summary, summarize
 from sprucenotch.rig.truth import checks, more_checks, recovery
 from sprucenotch.rig.truth.history import Event, Figures, Lag, Process
-from sprucenotch.rig.truth.ledger import LATE_LEAST, Finding, Invariant, Ledger, Rules, Terms
+from sprucenotch.rig.truth.ledger import MIN_LAG, Finding, Invariant, Ledger, Rules, Terms
 
-LAG_EVERY = 0.01  # seconds between two looks at the rig's own lateness
-LATE_MOST = 0.25  # seconds: a load that lags more is not the one that was asked for
+LAG_INTERVAL = 0.01  # seconds between measurements of the testbed's own lag
+LATE_MOST = 0.25  # seconds; a load that lags more does not match the plan
 LATE_USUAL = 0.02  # seconds, at the 99th percentile
-STILL_WITHIN = 2.0  # seconds in which a sidecar ends what it has in progress
+IDLE_TIMEOUT = 2.0  # seconds for a sidecar to finish the requests in progress
 
 
 class Second(Struct, frozen=True):
-    """What clients, engines and sidecars did since the last one."""
+    """Measurements of one second of a run."""
 
     at: float  # seconds since the first request
     ended: Counter[tuple[str, str]]  # by class and outcome, as the clients saw it
-    served: Mapping[str, int]  # by engine's place
-    held: Mapping[str, int]
+    served: Mapping[str, int]  # requests, by engine name without its suffix
+    held: Mapping[str, int]  # requests in an engine, likewise
     cpu: Mapping[str, float]  # share of a core, by sidecar
     gauges: Mapping[str, Mapping[str, float]]  # by sidecar
 
 
 class Result(Struct, frozen=True, kw_only=True):
+    """The outcome of a run."""
+
     title: str
     seed: int
     revision: str
-    began: float  # of its history, the time of the first request
+    began: float  # time of the first request in the history
     seconds: float
     summary: Summary
     findings: Sequence[Finding]
@@ -62,12 +64,12 @@
 
     @property
     def late(self) -> bool:
-        """Whether the rig could not keep up: then it proves nothing about the program."""
+        """Whether the testbed could not keep up, so that the result says nothing about the program."""
         return bool(self.held_back or self.lateness["p99"] > LATE_USUAL or self.lateness["most"] > LATE_MOST)
 
 
 class Play:
-    """One run. `each_second` hears of each as it ends."""
+    """One run of a plan. `each_second` is called with the measurements of each second."""
 
     def __init__(
         self,
@@ -79,7 +81,7 @@
         programs: Mapping[str, Program] | None = None,
     ) -> None:
         self.plan, self.seed, self._each_second = plan, seed, each_second
-        self._invariants = checks.shipped() if invariants is None else invariants
+        self._invariants = checks.standard_invariants() if invariants is None else invariants
         self.stage = Stage(plan, seed, folder, programs)
         self.faults = Faults(self.stage)
         self.total: Counter[tuple[str, str]] = Counter()
@@ -93,21 +95,23 @@
         self.began = 0.0  # the monotonic clock at the first request
 
     def interrupt(self) -> None:
-        """End now, as at the end of the plan."""
+        """Stop now, as at the end of the plan."""
         self.interrupted = True
         self.stopped.set()
 
     @property
     def late(self) -> float:
-        """The most that the load lagged, in seconds."""
+        """The maximum lag of the load, in seconds."""
         return max(self.load.late, default=0.0) if self.load is not None else 0.0
 
-    def _ended(self, ended: Ended) -> None:
+    def _count_ended(self, ended: Ended) -> None:
         self._recent[ended.kind.name, ended.outcome] += 1
 
     async def run(self) -> Result:
-        """The whole plan. Raises RigError where a process does not start, or ends by itself. All that was
-        started is ended when this returns, however it does."""
+        """Run the whole plan. Raises RigError if a process does not start, or ends unexpectedly.
+
+        All processes have ended when this returns or raises.
+        """
         async with self.stage as stage:
             clients = {
                 name: Clients(
@@ -117,12 +121,12 @@
                 )
                 for number, name in enumerate(stage.sidecars)
             }  # fmt: skip
-            self.load = Load(self.plan, self.seed, clients, lambda: self.faults.load, self._ended)
+            self.load = Load(self.plan, self.seed, clients, lambda: self.faults.load, self._count_ended)
             self.began = time.monotonic()
             lag = asyncio.create_task(self._watch_lag())
             try:
-                await self._through(self.load)
-                await self._still()
+                await self._run_tasks(self.load)
+                await self._record_telemetry()
             finally:
                 lag.cancel()
                 self.logs = stage.logs()
@@ -131,20 +135,20 @@
                     for e in stage.history
                     if isinstance(e, Process) and e.what == "started"
                 }
-                stage.history += recovery.recalled(self.logs, started)
-                stage.history += more_checks.said(self.logs, started)
+                stage.history += recovery.restored_states(self.logs, started)
+                stage.history += more_checks.logged_faults(self.logs, started)
                 if self.plan.fleet.log == "debug":
                     stage.history += list(stage.sent_attempts())
         self.total += self._recent
         return self._result(stage.history)
 
-    async def _through(self, load: Load) -> None:
-        """Load, faults and seconds side by side; whatever fails ends all of them."""
+    async def _run_tasks(self, load: Load) -> None:
+        """Run load, faults and measurements concurrently; a failure of one cancels the others."""
         end = self.began + self.plan.length
-        sending = asyncio.create_task(load.run(end))
-        harming = asyncio.create_task(self._harm())
-        watching = asyncio.create_task(self._watch(end))
-        tasks = (sending, harming, watching)
+        load_task = asyncio.create_task(load.run(end))
+        fault_task = asyncio.create_task(self._inject_faults())
+        measure_task = asyncio.create_task(self._measure(end))
+        tasks = (load_task, fault_task, measure_task)
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_EXCEPTION)
             for task in done:
@@ -158,17 +162,17 @@
         await load.finish()
         await asyncio.sleep(0 if self.interrupted else self.plan.settle)
 
-    async def _harm(self) -> None:
-        """As below; of what fails together the first is told."""
+    async def _inject_faults(self) -> None:
+        """Run all steps; of several failures at once, raise the first."""
         try:
-            await self._harm_by_steps()
+            await self._inject_steps()
         except* RigError as problems:
             raise problems.exceptions[0] from None
 
-    async def _harm_by_steps(self) -> None:
-        """Every step at its time, each healed at its own."""
+    async def _inject_steps(self) -> None:
+        """Inject and heal each fault at its times."""
 
-        async def one(step: Step) -> None:
+        async def inject(step: Step) -> None:
             await asyncio.sleep(max(0.0, self.began + step.at - time.monotonic()))
             number = await self.faults.begin(step.fault)
             await asyncio.sleep(max(0.0, self.began + step.at + step.lasts - time.monotonic()))
@@ -176,11 +180,12 @@
 
         async with asyncio.TaskGroup() as group:
             for step in self._steps:
-                group.create_task(one(step))
+                group.create_task(inject(step))
 
-    async def _watch(self, end: float) -> None:
+    async def _measure(self, end: float) -> None:
+        """Take the measurements of each second until the end. Raises Stopped on an interrupt."""
         stage = self.stage
-        served, cpu, then = self._served(), self._cpu(), self.began
+        served, cpu, previous = self._served(), self._cpu(), self.began
         while (now := time.monotonic()) < end and not self.stopped.is_set():
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.stopped.wait(), min(1.0, end - now))
@@ -188,15 +193,15 @@
                 sidecar.check()
             now, recent, self._recent = time.monotonic(), self._recent, Counter()
             self.total += recent
-            before, served = served, self._served()
-            used, cpu = cpu, self._cpu()
+            served_before, served = served, self._served()
+            cpu_before, cpu = cpu, self._cpu()
             second = Second(
-                now - self.began, recent, {n: c - before.get(n, 0) for n, c in served.items()},
+                now - self.began, recent, {n: c - served_before.get(n, 0) for n, c in served.items()},
                 {place: one.held for place, one in stage.engines.items()},
-                {n: (c - used.get(n, c)) / 1e9 / (now - then) for n, c in cpu.items()},
+                {n: (c - cpu_before.get(n, c)) / 1e9 / (now - previous) for n, c in cpu.items()},
                 await self._gauges(),
             )  # fmt: skip
-            then = now
+            previous = now
             self.seconds.append(second)
             self._each_second(second)
         if self.stopped.is_set():
@@ -213,35 +218,38 @@
         return found
 
     async def _gauges(self) -> dict[str, dict[str, float]]:
-        """What each sidecar says of its decisions, of those that answer at once."""
+        """Metrics of the sidecars, without those that do not answer at once."""
         names = list(self.stage.sidecars)
-        told = await asyncio.gather(*(asyncio.to_thread(_read, self.stage.sidecars[n]) for n in names))
-        return {name: gauges for name, gauges in zip(names, told, strict=True) if gauges}
+        results = await asyncio.gather(
+            *(asyncio.to_thread(_read_gauges, self.stage.sidecars[n]) for n in names)
+        )
+        return {name: gauges for name, gauges in zip(names, results, strict=True) if gauges}
 
     async def _watch_lag(self) -> None:
-        due = time.monotonic() + LAG_EVERY
+        """Record each lag of this process's event loop."""
+        due = time.monotonic() + LAG_INTERVAL
         while True:
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             now = time.monotonic()
-            if now - due >= LATE_LEAST:
+            if now - due >= MIN_LAG:
                 self.stage.witness(Lag(at=self.stage.now(), late=now - due))
-            due = now + LAG_EVERY
+            due = now + LAG_INTERVAL
 
-    async def _still(self) -> None:
-        """Each sidecar's own figures, once it has nothing in progress."""
+    async def _record_telemetry(self) -> None:
+        """Record the telemetry of each sidecar once it has no request in progress."""
         for name, sidecar in self.stage.sidecars.items():
             sidecar.check()
-            until = time.monotonic() + STILL_WITHIN
+            until = time.monotonic() + IDLE_TIMEOUT
             while True:
                 try:
                     status, body = await asyncio.to_thread(call, sidecar.mgmt, "/api/telemetry", 2.0)
                 except OSError as problem:
-                    raise ProcessError(f"{name} does not tell its figures: {problem}") from None
-                told = msgspec.json.decode(body) if status == 200 else {}
-                if told.get("in_progress") == 0 or time.monotonic() > until:
+                    raise ProcessError(f"{name} does not return its telemetry: {problem}") from None
+                telemetry = msgspec.json.decode(body) if status == 200 else {}
+                if telemetry.get("in_progress") == 0 or time.monotonic() > until:
                     break
                 await asyncio.sleep(0.05)
-            self.stage.witness(Figures(at=self.stage.now(), sidecar=name, life=sidecar.life, told=told))
+            self.stage.witness(Figures(at=self.stage.now(), sidecar=name, life=sidecar.life, told=telemetry))
 
     def _result(self, history: Sequence[Event]) -> Result:
         plan = self.plan
@@ -251,9 +259,9 @@
         if plan.fleet.state != "none":
             rules = rules._replace(state=plan.fleet.state)
         if plan.fleet.discovery != "pushed":
-            rules = rules._replace(told_within=None)
+            rules = rules._replace(max_push_delay=None)
         ledger = Ledger(history, terms, rules)
-        findings = ledger.judge(self._invariants)
+        findings = ledger.check(self._invariants)
         late = sorted(self.load.late if self.load is not None else [0.0]) or [0.0]
         p99 = statistics.quantiles(late, n=100)[98] if len(late) > 1 else late[0]
         return Result(
@@ -268,14 +276,14 @@
 
 
 class Stopped(RigError):
-    """Told to end before the plan's end."""
+    """The run was interrupted."""
 
 
 GAUGES = (b"cut", b"pressure", b"retry_budget", b"resident_memory_bytes", b"open_descriptors")
 
 
-def _read(sidecar: Any) -> dict[str, float]:
-    """Some of its metrics; nothing where it does not answer."""
+def _read_gauges(sidecar: Any) -> dict[str, float]:
+    """The metrics in GAUGES; empty if the sidecar does not answer."""
     try:
         status, body = call(sidecar.mgmt, "/metrics", 0.3)
     except OSError:
--- a/sprucenotch/rig/report.py
+++ b/sprucenotch/rig/report.py
@@ -1,4 +1,4 @@
-"""A run as one self-contained HTML page: figures, findings with their time lines, plots as SVG."""
+"""Renders a run as a self-contained HTML page: results, findings with their time lines, plots as SVG."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 COLOURS = {"served": "#2b8a3e", "late": "#e8a317", "refused": "#4c78a8", "failed": "#c92a2a"}
 WIDTH, HEIGHT = 10.0, 2.6  # inches
-FINDINGS_MOST = 50  # with their time lines; the others are counted
+MAX_FINDINGS = 50  # shown with their time lines; the others are only counted
 
 
-class Band:
-    """A fault over time."""
+class FaultInterval:
+    """A fault and the interval in which it was active."""
 
     def __init__(self, fault: Fault, began: float, end: float) -> None:
         self.do, self.befalls = fault.do, fault.befalls
         self.begin, self.end = fault.at - began, end - began
 
 
-def bands(history: Sequence[Event], began: float, end: float) -> list[Band]:
-    """Faults over time, in seconds since the first request, which `began` is in the history."""
+def fault_intervals(history: Sequence[Event], began: float, end: float) -> list[FaultInterval]:
+    """The faults of a history, in seconds since the first request, whose time in the history is `began`."""
     begun: dict[int, Fault] = {}
     found = []
     for event in history:
@@ -42,27 +42,27 @@
             begun[event.number] = event
         elif isinstance(event, Fault) and event.number in begun:
             start = begun.pop(event.number)
-            found.append(Band(start, began, event.at))
-    found += [Band(start, began, end) for start in begun.values()]
-    return sorted(found, key=lambda band: band.begin)
+            found.append(FaultInterval(start, began, event.at))
+    found += [FaultInterval(start, began, end) for start in begun.values()]
+    return sorted(found, key=lambda interval: interval.begin)
 
 
-def plots(seconds: Sequence[Second], faults: Sequence[Band]) -> dict[str, str]:
-    """SVG by title."""
+def plots(seconds: Sequence[Second], faults: Sequence[FaultInterval]) -> dict[str, str]:
+    """The plots as SVG, by title."""
     return {
-        "Service, as the clients saw it": _drawn(seconds, faults, _service),
-        "Cuts of the sidecars": _drawn(seconds, faults, _gauge("cut", "level below which it refuses")),
-        "What the engines hold": _drawn(seconds, faults, _engines),
-        "Memory of the sidecars": _drawn(seconds, faults, _gauge("resident_memory_bytes", "MB", 1e6, False)),
+        "Service, as the clients saw it": _plot(seconds, faults, _service),
+        "Cuts of the sidecars": _plot(seconds, faults, _gauge("cut", "level below which it refuses")),
+        "What the engines hold": _plot(seconds, faults, _engines),
+        "Memory of the sidecars": _plot(seconds, faults, _gauge("resident_memory_bytes", "MB", 1e6, False)),
         "Faults": _faults(seconds, faults),
     }
 
 
-def _drawn(seconds: Sequence[Second], faults: Sequence[Band], draw: Any) -> str:
+def _plot(seconds: Sequence[Second], faults: Sequence[FaultInterval], draw: Any) -> str:
     figure, axes = plt.subplots(figsize=(WIDTH, HEIGHT), layout="constrained")
     draw(axes, seconds)
-    for band in faults:
-        axes.axvspan(band.begin, band.end, color="#c92a2a", alpha=0.07, lw=0)
+    for interval in faults:
+        axes.axvspan(interval.begin, interval.end, color="#c92a2a", alpha=0.07, lw=0)
     axes.set_xlim(0, max(second.at for second in seconds))
     axes.set_xlabel("seconds")
     axes.grid(alpha=0.3)
@@ -122,12 +122,16 @@
     axes.legend(loc="lower left", bbox_to_anchor=(0, 1), ncols=8, fontsize=8, frameon=False)
 
 
-def _faults(seconds: Sequence[Second], faults: Sequence[Band]) -> str:
+def _faults(seconds: Sequence[Second], faults: Sequence[FaultInterval]) -> str:
     height = 0.8 + 0.28 * max(1, len(faults))
     figure, axes = plt.subplots(figsize=(WIDTH, height), layout="constrained")
-    for row, band in enumerate(faults):
-        axes.barh(row, max(band.end - band.begin, 0.05), left=band.begin, color="#c92a2a", alpha=0.6)
-        axes.text(band.begin, row, f" {band.do}: {_some(band.befalls)}", va="center", fontsize=7)
+    for row, interval in enumerate(faults):
+        axes.barh(
+            row, max(interval.end - interval.begin, 0.05), left=interval.begin, color="#c92a2a", alpha=0.6
+        )
+        axes.text(
+            interval.begin, row, f" {interval.do}: {_abbreviate(interval.befalls)}", va="center", fontsize=7
+        )
     axes.set_yticks([])
     axes.set_ylim(len(faults) - 0.4, -0.6)
     axes.set_xlim(0, max(second.at for second in seconds))
@@ -135,7 +139,7 @@
     return _svg(figure)
 
 
-def _some(names: Sequence[str]) -> str:
+def _abbreviate(names: Sequence[str]) -> str:
     more = f" and {len(names) - 3} more" if len(names) > 3 else ""
     return ", ".join(names[:3]) + more
 
@@ -143,18 +147,18 @@
 def page(store: Store, row: Row) -> str:
     """The run as HTML."""
     seconds, history = store.seconds(row.id), store.history(row.id)
-    faults = bands(history, row.result.began, row.result.seconds)
+    faults = fault_intervals(history, row.result.began, row.result.seconds)
     environment = Environment(
         loader=PackageLoader("sprucenotch.rig"), autoescape=True, undefined=StrictUndefined,
         trim_blocks=True, lstrip_blocks=True,
     )  # fmt: skip
     return environment.get_template("report.html").render(
         row=row, result=row.result, plots=plots(seconds, faults) if seconds else {}, faults=faults,
-        outcomes=OUTCOMES, findings=row.result.findings[:FINDINGS_MOST],
-        more=max(0, len(row.result.findings) - FINDINGS_MOST), some=_some,
+        outcomes=OUTCOMES, findings=row.result.findings[:MAX_FINDINGS],
+        more=max(0, len(row.result.findings) - MAX_FINDINGS), some=_abbreviate,
     )  # fmt: skip
 
 
 def write(store: Store, row: Row, to: Path) -> None:
-    """Raises OSError."""
+    """Write the page to a file. Raises OSError."""
     to.write_text(page(store, row))
--- a/sprucenotch/rig/rough.py
+++ b/sprucenotch/rig/rough.py
@@ -1,4 +1,4 @@
-"""Clients that misbehave, or behave in rarer ways: each is judged where it is owed something."""
+"""Clients that misbehave or behave unusually; checked where a sidecar must still answer or close."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from sprucenotch.rig.plan import Plan
 from sprucenotch.rig.truth import history
 
-How: TypeAlias = Literal["slow", "leaving", "stuck", "idle", "pipelined"]
-PIECES, PIECE_PAUSE = 12, 0.1  # of a request that is written slowly, and seconds between two
-LONGEST_STAY = 0.06  # seconds for which one that leaves waits for its answer
-STUCK_PATIENCE = 4.0  # seconds: one that stops within a request is owed an end within 3
-PIPELINED = 4  # requests sent at once
-LISTEN_ON = 0.5  # seconds after a deadline
-MAX_OPEN = 64  # clients at once, of a fault
+Behaviour: TypeAlias = Literal["slow", "leaving", "stuck", "idle", "pipelined"]
+PARTS, PART_PAUSE = 12, 0.1  # parts of a slowly written request, seconds between two of them
+MAX_STAY = 0.06  # seconds; a leaving client waits a random time up to this
+STALL_TIMEOUT = 4.0  # seconds; a sidecar must end the connection of a stalled request within 3
+PIPELINED_REQUESTS = 4  # requests sent at once
+READ_AFTER_DEADLINE = 0.5  # seconds to wait for an answer after its deadline
+MAX_CLIENTS = 64  # concurrent clients of a fault
 
 
 class Request(NamedTuple):
-    """One that is about to be sent."""
+    """A request to send."""
 
     id: str
     raw: bytes
@@ -33,7 +33,7 @@
 
 
 class RoughClients:
-    """Those of one fault."""
+    """The clients of one fault."""
 
     def __init__(
         self, plan: Plan, witness: Callable[[history.Event], None], origin: float, seed: int
@@ -45,46 +45,50 @@
         self._witness, self._origin = witness, origin
         self._rng = random.Random(f"rough {seed} {id(self)}")
         self._tasks: set[asyncio.Task[None]] = set()
-        self._held: list[asyncio.StreamWriter] = []
+        self._idle_writers: list[asyncio.StreamWriter] = []
         self._number = 0
 
     def _now(self) -> float:
         return time.monotonic() - self._origin
 
     async def run(
-        self, how: How, dials: Mapping[str, str], per_second: float, lives: Callable[[], Mapping[str, int]]
+        self,
+        how: Behaviour,
+        dials: Mapping[str, str],
+        per_second: float,
+        lives: Callable[[], Mapping[str, int]],
     ) -> None:
-        """Have one after the other come, until cancelled."""
-        act = {
+        """Start clients at random times, `per_second` on average, until cancelled."""
+        behave = {
             "slow": self._slow, "leaving": self._leaving, "stuck": self._stuck, "idle": self._idle,
             "pipelined": self._pipelined,
         }[how]  # fmt: skip
         while True:
             await asyncio.sleep(self._rng.expovariate(per_second))
-            if len(self._tasks) >= MAX_OPEN:
+            if len(self._tasks) >= MAX_CLIENTS:
                 continue
             name = self._rng.choice(sorted(dials))
-            task = asyncio.ensure_future(self._meet(act, name, dials[name], lives()[name]))
+            task = asyncio.ensure_future(self._run_client(behave, name, dials[name], lives()[name]))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def finish(self) -> None:
-        """Wait for those that are owed something, and let the idle ones go."""
+        """Wait for active clients, then close idle connections."""
         if self._tasks:
             await asyncio.wait(self._tasks)
-        for writer in self._held:
+        for writer in self._idle_writers:
             writer.transport.abort()
 
-    async def _meet(self, act: Callable[..., object], name: str, dial: str, life: int) -> None:
+    async def _run_client(self, behave: Callable[..., object], name: str, dial: str, life: int) -> None:
         try:
             reader, writer = await asyncio.open_connection(*address(dial))
         except OSError:
-            return  # nobody is there: another kind of client judges that
+            return  # not checked here: the regular clients detect a sidecar that does not accept
         try:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                await act(name, life, reader, writer)  # type: ignore[misc]
+                await behave(name, life, reader, writer)  # type: ignore[misc]
         finally:
-            if writer not in self._held:
+            if writer not in self._idle_writers:
                 writer.transport.abort()
 
     def _request(self) -> Request:
@@ -99,22 +103,22 @@
     async def _slow(
         self, name: str, life: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Write a request in pieces, and wait for its answer."""
+        """Write a request in parts and wait for the answer."""
         request = self._request()
         raw = request.raw
-        size = -(-len(raw) // PIECES)
+        size = -(-len(raw) // PARTS)
         for start in range(0, len(raw), size):
             writer.write(raw[start : start + size])
             await writer.drain()
             if start + size < len(raw):
-                await asyncio.sleep(PIECE_PAUSE)
+                await asyncio.sleep(PART_PAUSE)
         self._sent(request, name, life)
         await self._answer(request, reader)
 
     async def _pipelined(
         self, name: str, life: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        requests = [self._request() for _ in range(PIPELINED)]
+        requests = [self._request() for _ in range(PIPELINED_REQUESTS)]
         writer.write(b"".join(request.raw for request in requests))
         await writer.drain()
         for request in requests:
@@ -128,7 +132,7 @@
         request = self._request()
         writer.write(request.raw)
         await writer.drain()
-        await asyncio.sleep(self._rng.uniform(0, LONGEST_STAY))
+        await asyncio.sleep(self._rng.uniform(0, MAX_STAY))
         writer.transport.abort() if self._rng.random() < 0.5 else writer.close()
         self._witness(
             history.Left(at=self._now(), sidecar=name, life=life, id=request.id, cls=request.kind.name)
@@ -142,7 +146,7 @@
         writer.write(raw[: len(raw) // 2])
         ended = True
         try:
-            async with asyncio.timeout(STUCK_PATIENCE):
+            async with asyncio.timeout(STALL_TIMEOUT):
                 while await reader.read(1000):
                     pass
         except TimeoutError:
@@ -154,7 +158,7 @@
     async def _idle(
         self, name: str, life: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self._held.append(writer)
+        self._idle_writers.append(writer)
 
     def _sent(self, request: Request, name: str, life: int) -> None:
         now, id_ = self._now(), request.id
@@ -166,11 +170,11 @@
         )  # fmt: skip
 
     async def _answer(self, request: Request, reader: asyncio.StreamReader) -> None:
-        """Read one answer, and tell how it ended."""
+        """Read an answer and record how it ended."""
         how: Literal["whole", "broke", "silent"] = "whole"
         status, body = 0, ""
         try:
-            async with asyncio.timeout(request.kind.deadline + LISTEN_ON):
+            async with asyncio.timeout(request.kind.deadline + READ_AFTER_DEADLINE):
                 head = await reader.readuntil(b"\r\n\r\n")
                 length = next(
                     int(line.partition(b":")[2])
--- a/sprucenotch/rig/store.py
+++ b/sprucenotch/rig/store.py
@@ -1,5 +1,4 @@
-"""Results of runs, in one SQLite file: each run with its plan, seed, revision, what came of it, its
-history."""
+"""Stores runs in an SQLite file: plan, seed, revision, result, history and logs of each."""
 
 from __future__ import annotations
 
@@ -20,7 +19,7 @@
 from sprucenotch.rig.process import RigError
 from sprucenotch.rig.truth.history import Event
 
-WAIT = 60.0  # seconds for other processes that write to the same file
+LOCK_TIMEOUT = 60.0  # seconds to wait while another process writes to the file
 TABLES = """
 CREATE TABLE IF NOT EXISTS runs (
     id INTEGER PRIMARY KEY, plan TEXT NOT NULL, plan_key TEXT NOT NULL, seed INTEGER NOT NULL,
@@ -35,30 +34,33 @@
 
 
 class StoreError(RigError):
-    """The store cannot be read or written; nothing that was in it is lost."""
+    """The store cannot be read or written; its content is intact."""
 
 
 class Row(NamedTuple):
+    """A stored run."""
+
     id: int
     plan: str  # its text
     at: str  # UTC
-    counts: bool  # it went to its end, and the rig kept up
+    counts: bool  # the run completed and the testbed kept up
     result: Result
 
 
 def plan_key(source: str) -> str:
+    """A hash of the plan's text, by which runs of the same plan are found."""
     return hashlib.blake2b(source.encode(), digest_size=12).hexdigest()
 
 
 class Store:
-    """Use it as a context manager. Several processes may hold the same file."""
+    """A store of runs, used as a context manager. Several processes may use the same file."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         try:
-            self._base = sqlite3.connect(path, timeout=WAIT)
-            self._base.execute("PRAGMA journal_mode = WAL")
-            self._base.executescript(TABLES)
+            self._database = sqlite3.connect(path, timeout=LOCK_TIMEOUT)
+            self._database.execute("PRAGMA journal_mode = WAL")
+            self._database.executescript(TABLES)
         except sqlite3.Error as problem:
             raise StoreError(f"the store {path} cannot be used: {problem}") from None
 
@@ -68,7 +70,7 @@
     def __exit__(
         self, kind: type[BaseException] | None, value: BaseException | None, trace: TracebackType | None
     ) -> None:
-        self._base.close()
+        self._database.close()
 
     def add(
         self,
@@ -78,7 +80,7 @@
         history: Sequence[Event] = (),
         logs: Mapping[str, str] | None = None,
     ) -> int:
-        """Keep a run, whole or not at all; its number. Raises StoreError."""
+        """Store a run in one transaction; return its number. Raises StoreError."""
         pack = msgspec.msgpack.encode
         row = (
             source, plan_key(source), result.seed, result.revision,
@@ -87,58 +89,61 @@
             zlib.compress(pack(list(history))),
         )  # fmt: skip
         try:
-            with self._base:
-                marks = ", ".join("?" * len(row))
-                done = self._base.execute(
+            with self._database:
+                placeholders = ", ".join("?" * len(row))
+                cursor = self._database.execute(
                     "INSERT INTO runs (plan, plan_key, seed, revision, at, counts, worth, findings, result, "
-                    f"seconds, history) VALUES ({marks})",
+                    f"seconds, history) VALUES ({placeholders})",
                     row,
                 )
-                number = int(done.lastrowid or 0)
-                self._base.executemany(
+                number = int(cursor.lastrowid or 0)
+                self._database.executemany(
                     "INSERT INTO logs VALUES (?, ?, ?)",
                     [(number, name, zlib.compress(text.encode())) for name, text in (logs or {}).items()],
                 )
         except sqlite3.Error as problem:
-            raise StoreError(f"the run was not kept in {self.path}: {problem}") from None
+            raise StoreError(f"the run was not stored in {self.path}: {problem}") from None
         return number
 
     def rows(self, source: str | None = None, revision: str | None = None) -> Iterator[Row]:
-        """Runs in their order, of a plan and of a revision if these are told."""
-        where, told = ["1"], list[str]()
+        """Runs in order, optionally of one plan or one revision only."""
+        where, parameters = ["1"], list[str]()
         for column, value in (("plan_key", plan_key(source) if source else None), ("revision", revision)):
             if value is not None:
                 where.append(f"{column} = ?")
-                told.append(value)
+                parameters.append(value)
         query = f"SELECT id, plan, at, counts, result FROM runs WHERE {' AND '.join(where)} ORDER BY id"
-        for id, plan, at, counts, raw in self._read(query, *told):
+        for id, plan, at, counts, raw in self._read(query, *parameters):
             yield Row(id, plan, at, bool(counts), msgspec.msgpack.decode(raw, type=Result))
 
     def done(self, source: str, revision: str) -> dict[int, Row]:
-        """The last run that counts, by seed: what a sweep need not do again."""
+        """The last valid run of each seed, which a sweep need not repeat."""
         return {row.result.seed: row for row in self.rows(source, revision) if row.counts}
 
     def seconds(self, run: int) -> list[Second]:
+        """The measurements of a run, by second."""
         [(raw,)] = self._read("SELECT seconds FROM runs WHERE id = ?", run)
         return [_second(one) for one in msgspec.msgpack.decode(raw, type=list[_Packed])]
 
     def history(self, run: int) -> list[Event]:
+        """The history of a run."""
         [(raw,)] = self._read("SELECT history FROM runs WHERE id = ?", run)
         return msgspec.msgpack.decode(zlib.decompress(raw), type=list[Event])
 
     def logs(self, run: int) -> dict[str, str]:
+        """The logs of a run, by process."""
         rows = self._read("SELECT process, text FROM logs WHERE run = ?", run)
         return {name: zlib.decompress(raw).decode() for name, raw in rows}
 
-    def _read(self, query: str, *told: object) -> list[Any]:
+    def _read(self, query: str, *parameters: object) -> list[Any]:
         try:
-            return self._base.execute(query, told).fetchall()
+            return self._database.execute(query, parameters).fetchall()
         except sqlite3.Error as problem:
             raise StoreError(f"{self.path} cannot be read: {problem}") from None
 
 
 class _Packed(Struct, frozen=True):
-    """A second as it is kept: pairs cannot be keys there."""
+    """A Second as it is encoded: MessagePack maps cannot have tuples as keys."""
 
     at: float
     ended: list[tuple[str, str, int]]
--- a/sprucenotch/rig/summary.py
+++ b/sprucenotch/rig/summary.py
@@ -1,4 +1,4 @@
-"""What a history comes to: outcomes by class, worth, latencies."""
+"""Summarizes a history: outcomes by class, worth, latencies."""
 
 from __future__ import annotations
 
@@ -16,23 +16,25 @@
 from sprucenotch.rig.truth.history import Ended, Event, Sent
 
 OUTCOMES = ("served", "late", "refused", "failed")
-MICROSECONDS_MOST = 3_600_000_000
-DIGITS = 3  # of a latency that its histogram keeps
+MAX_LATENCY_US = 3_600_000_000
+HISTOGRAM_DIGITS = 3  # significant digits of latencies in the histogram
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class ByClass(Struct, frozen=True):
-    asked: int
-    outcomes: Mapping[str, int]  # of each thing wanted, by how its last request ended
-    requests: int  # with repeats
-    # Milliseconds of what was served, by quantile: from when the load had it due, so that a rig or a
-    # sidecar that holds requests back cannot hide it (coordinated omission), and from when it left.
+    """The results of a request class."""
+
+    asked: int  # logical requests, without repeats
+    outcomes: Mapping[str, int]  # of logical requests, by the end of the last repeat
+    requests: int  # repeats included
+    # Milliseconds of answered requests, by quantile: from the scheduled time, so that requests held back by
+    # the testbed or a sidecar count too (coordinated omission), and from the time of sending.
     latency: Mapping[str, float]
     latency_sent: Mapping[str, float]
 
 
 class Summary(Struct, frozen=True):
-    worth: float  # share of the worth asked for that was served within its aim
+    worth: float  # share of the requested worth that was served within its aim
     classes: Mapping[str, ByClass]
 
     @property
@@ -41,13 +43,14 @@
 
 
 def outcome(one: Class, sent: Sent, ended: Ended | None) -> str:
-    """How a request ended, as its client sees it."""
+    """How a request ended from its client's view."""
     if ended is None or ended.how != "whole":
         return "failed"
     return client.Ended(kind(one), ended.status, ended.at - sent.at).outcome
 
 
 def summarize(history: Iterable[Event], classes: Sequence[Class]) -> Summary:
+    """Summarize a history for each of the classes."""
     sent, ended = dict[str, Sent](), dict[str, Ended]()
     for event in history:
         if isinstance(event, Sent):
@@ -60,9 +63,9 @@
     worth, all_worth, found = 0.0, 0.0, dict[str, ByClass]()
     for cls in classes:
         counts = dict.fromkeys(OUTCOMES, 0)
-        due, left = (HdrHistogram(1, MICROSECONDS_MOST, DIGITS) for _ in range(2))
-        mine = [tries for tries in calls.values() if tries[0].cls == cls.name]
-        for tries in mine:
+        due, left = (HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS) for _ in range(2))
+        of_class = [tries for tries in calls.values() if tries[0].cls == cls.name]
+        for tries in of_class:
             last = max(tries, key=lambda s: s.repeat)
             how = outcome(cls, last, ended.get(last.id))
             counts[how] += 1
@@ -71,9 +74,9 @@
                 due.record_value(max(1, int((at - tries[0].due) * 1e6)))
                 left.record_value(max(1, int((at - last.at) * 1e6)))
         worth += float(cls.worth) * counts["served"]
-        all_worth += float(cls.worth) * len(mine)
-        requests = sum(map(len, mine))
-        found[cls.name] = ByClass(len(mine), counts, requests, _quantiles(due), _quantiles(left))
+        all_worth += float(cls.worth) * len(of_class)
+        requests = sum(map(len, of_class))
+        found[cls.name] = ByClass(len(of_class), counts, requests, _quantiles(due), _quantiles(left))
     return Summary(worth / all_worth if all_worth else math.nan, found)
 
 
--- a/sprucenotch/rig/truth/__init__.py
+++ b/sprucenotch/rig/truth/__init__.py
@@ -1,1 +1,1 @@
-"""The ledger of truth: what all sides of a run saw, matched, and judged by invariants."""
+"""Checkers: match what all sides of a run recorded, and verify invariants over it."""
--- a/sprucenotch/rig/truth/history.py
+++ b/sprucenotch/rig/truth/history.py
@@ -1,5 +1,8 @@
-"""What happened in a run, as each side saw it. All times are seconds of one machine's monotonic clock, from
-the start of the run; a history is in their order."""
+"""The events of a run, as each side recorded them.
+
+All times are seconds of the machine's monotonic clock since the start of the run; a history is sorted by
+time.
+"""
 
 from __future__ import annotations
 
@@ -9,61 +12,69 @@
 from msgspec import Struct
 
 
-class Happening(Struct, frozen=True, kw_only=True, tag=True):
+class TimedEvent(Struct, frozen=True, kw_only=True, tag=True):
+    """Base of all events."""
+
     at: float
 
 
-class Sent(Happening, frozen=True, kw_only=True):
+class Sent(TimedEvent, frozen=True, kw_only=True):
     """A client wrote the last byte of a request."""
 
     id: str
-    call: str  # what the client wanted; its repeats share it
+    call: str  # the logical request; its repeats have the same
     cls: str
     key: str = ""
     owner: str = ""
     sidecar: str
-    life: int = 0  # which process of that name listened when the connection came up
-    due: float  # when the load had it
+    life: int = 0  # number of the process of that name that listened when the connection was made
+    due: float  # when the load generator scheduled it
     deadline: float  # seconds after `at`
-    fresh: bool = True  # on a connection that carried nothing before
+    fresh: bool = True  # on a connection without earlier requests
     repeat: int = 0
 
 
-class Ended(Happening, frozen=True, kw_only=True):
-    """A client knows how its request ended."""
+class Ended(TimedEvent, frozen=True, kw_only=True):
+    """The request of a client ended, with or without an answer."""
 
     id: str
-    status: int  # 0 without a whole answer
+    status: int  # 0 without a complete answer
     body: str = ""
-    # whole: an answer; broke: the connection ended before it; refused: it never came up; silent: given up
+    # whole: a complete answer; broke: the connection ended before it; refused: it was never established;
+    # silent: the client gave up waiting
     how: Literal["whole", "broke", "refused", "silent"] = "whole"
 
 
-class Surplus(Happening, frozen=True, kw_only=True):
-    """Bytes came on a connection whose request was answered already."""
+class Surplus(TimedEvent, frozen=True, kw_only=True):
+    """Bytes arrived on a connection whose request had already been answered."""
 
     sidecar: str
-    id: str  # of the request before
+    id: str  # of the last request on the connection
     data: str
 
 
 Step: TypeAlias = Literal["taken", "begun", "done", "error", "declined", "lost"]
 
 
-class Ran(Happening, frozen=True, kw_only=True):
-    """A request came whole to an engine (`taken`), and what became of it. `lost`: the engine died with it."""
+class Ran(TimedEvent, frozen=True, kw_only=True):
+    """A step of a request in an engine.
+
+    `taken`: it arrived completely; `lost`: the engine died while it had the request.
+    """
 
     engine: str
     life: int
     id: str
     key: str = ""
     step: Step
-    deadline: float = 0.0  # seconds that the sidecar says it waits, as it was taken
+    deadline: float = 0.0  # seconds, as the sidecar sent it with the request
 
 
-class Wrote(Happening, frozen=True, kw_only=True):
-    """A sidecar tells in its log that the last byte of an attempt has gone out. `at`: the start of its
-    process, as the clock of its log may step."""
+class Wrote(TimedEvent, frozen=True, kw_only=True):
+    """A sidecar logged that it sent the last byte of an attempt.
+
+    `at` is the start of the process, as the wall clock of the log may step.
+    """
 
     sidecar: str
     life: int
@@ -71,8 +82,8 @@
     attempt: int  # from 1 on
 
 
-class Left(Happening, frozen=True, kw_only=True):
-    """A client closed its connection before its answer."""
+class Left(TimedEvent, frozen=True, kw_only=True):
+    """A client closed its connection before the answer."""
 
     sidecar: str
     life: int
@@ -80,16 +91,16 @@
     cls: str
 
 
-class Stuck(Happening, frozen=True, kw_only=True):
-    """A client stopped in the middle of a request and stayed, until its connection ended or it gave up."""
+class Stuck(TimedEvent, frozen=True, kw_only=True):
+    """A client stopped writing within a request and waited until the connection ended or it gave up."""
 
     sidecar: str
     began: float
     ended: bool  # by an answer or a close
 
 
-class Said(Happening, frozen=True, kw_only=True):
-    """A process told in its log of a rule that it broke, or of a fault in itself."""
+class Said(TimedEvent, frozen=True, kw_only=True):
+    """A process logged that it broke a rule of its own, or an internal fault."""
 
     sidecar: str
     life: int
@@ -97,31 +108,33 @@
     text: str
 
 
-class Listed(Happening, frozen=True, kw_only=True):
-    """Discovery knows of a change since that version."""
+class Listed(TimedEvent, frozen=True, kw_only=True):
+    """Discovery has an engine in this state from that version on."""
 
     engine: str
     health: str
     version: int
 
 
-class Told(Happening, frozen=True, kw_only=True):
-    """Discovery wrote the list, or its changes, up to that version."""
+class Told(TimedEvent, frozen=True, kw_only=True):
+    """Discovery wrote the list, or its changes, to a sidecar up to that version."""
 
     sidecar: str
     version: int
 
 
-class Process(Happening, frozen=True, kw_only=True):
+class Process(TimedEvent, frozen=True, kw_only=True):
+    """A change in the life of a process."""
+
     name: str
     what: Literal["started", "ready", "told to end", "killed", "ended", "lost power"]
     life: int
     code: int = 0
-    version: int = 0  # of the list that a start was given
+    version: int = 0  # of the list that the process started with
 
 
-class Recalled(Happening, frozen=True, kw_only=True):
-    """What a start of a sidecar went on from, by its log."""
+class Recalled(TimedEvent, frozen=True, kw_only=True):
+    """The state that a sidecar restored at its start, according to its log."""
 
     sidecar: str
     life: int
@@ -131,26 +144,26 @@
     refused: tuple[str, ...] = ()
 
 
-class Fault(Happening, frozen=True, kw_only=True):
-    """A fault begins or is healed. Processes by name, links as "a>b"."""
+class Fault(TimedEvent, frozen=True, kw_only=True):
+    """A fault begins or is healed. Processes are given by name, links as "a>b"."""
 
     number: int
     do: str
     befalls: tuple[str, ...]
-    hits: tuple[str, ...]  # of these, or besides: whose doings prove nothing meanwhile
+    hits: tuple[str, ...]  # processes and links on which findings are excused while it lasts
     on: bool
 
 
-class Figures(Happening, frozen=True, kw_only=True):
-    """What a sidecar said of itself at the end, with nothing in progress."""
+class Figures(TimedEvent, frozen=True, kw_only=True):
+    """The telemetry of a sidecar at the end of the run, with no request in progress."""
 
     sidecar: str
     life: int
     told: Mapping[str, Any]
 
 
-class Lag(Happening, frozen=True, kw_only=True):
-    """The rig itself came late by so many seconds: what it saw around then proves nothing."""
+class Lag(TimedEvent, frozen=True, kw_only=True):
+    """The testbed itself lagged by `late` seconds, so observations around that time are not evidence."""
 
     late: float
 
@@ -162,10 +175,10 @@
 
 
 def line(event: Event) -> str:
-    """An event for a reader's time line."""
+    """Format an event for a time line."""
     fields = {f: getattr(event, f) for f in event.__struct_fields__ if f != "at"}
-    told = " ".join(f"{name}={_short(value)}" for name, value in fields.items() if value not in ("", None))
-    return f"{event.at:9.4f}  {type(event).__name__.lower():8} {told}"
+    text = " ".join(f"{name}={_short(value)}" for name, value in fields.items() if value not in ("", None))
+    return f"{event.at:9.4f}  {type(event).__name__.lower():8} {text}"
 
 
 def _short(value: object) -> str:
--- a/sprucenotch/seams/__init__.py
+++ b/sprucenotch/seams/__init__.py
@@ -1,1 +1,1 @@
-"""Where the program touches what a test must be able to break: clocks and disks."""
+"""Interfaces to the operating system that tests can replace or make fail: clocks, disks, system calls."""
--- a/sprucenotch/seams/clock.py
+++ b/sprucenotch/seams/clock.py
@@ -1,4 +1,4 @@
-"""Time as the program reads it. In service it is the machine's own."""
+"""The clock of the program, which tests can replace."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 from datetime import UTC, datetime
 from typing import NamedTuple
 
-MILLION = 1_000_000
+PARTS_PER_MILLION = 1_000_000
 
 
 class Clock:
-    """Monotonic time, anchored once to the wall clock so that all sidecars agree on hours and births. A wall
-    clock that jumps later moves nothing."""
+    """Monotonic time, anchored once to the wall clock.
+
+    All sidecars so agree on the time of day and on start times; later steps of the wall clock have no effect.
+    """
 
     def __init__(
         self, wall: Callable[[], int] = time.time_ns, monotonic: Callable[[], int] = time.monotonic_ns
@@ -21,7 +23,7 @@
         self._anchor = wall() - monotonic()
 
     def now(self) -> int:
-        """Nanoseconds of Unix time."""
+        """Unix time in nanoseconds."""
         return self._monotonic() + self._anchor
 
 
@@ -31,12 +33,11 @@
     wall: Callable[[], int] = time.time_ns,
     monotonic: Callable[[], int] = time.monotonic_ns,
 ) -> Clock:
-    """A clock whose machine is `offset` nanoseconds ahead and runs fast by so many millionths; for tests, by
-    configuration."""
+    """A clock that is `offset` nanoseconds ahead and drifts by `drift_ppm`; for tests, by configuration."""
     began = monotonic()
 
     def drift() -> int:
-        return int((monotonic() - began) * drift_ppm / MILLION)
+        return int((monotonic() - began) * drift_ppm / PARTS_PER_MILLION)
 
     return Clock(lambda: wall() + offset + drift(), lambda: monotonic() + drift())
 
@@ -45,31 +46,31 @@
 
 
 def http_date(text: bytes) -> int | None:
-    """Nanoseconds of Unix time of a Date header as RFC 9110 prefers it; None for anything else."""
+    """Parse a Date header (the preferred format of RFC 9110) to Unix nanoseconds; None if invalid."""
     try:
         _, day, month, year, clock, zone = text.split()
         hour, minute, second = map(int, clock.split(b":"))
         if zone != b"GMT":
             return None
-        told = datetime(int(year), MONTHS.index(month) + 1, int(day), hour, minute, second, tzinfo=UTC)
+        date = datetime(int(year), MONTHS.index(month) + 1, int(day), hour, minute, second, tzinfo=UTC)
     except ValueError:
         return None
-    return int(told.timestamp()) * 1_000_000_000
+    return int(date.timestamp()) * 1_000_000_000
 
 
 class Moment(NamedTuple):
-    """A time that another process of this machine, or this machine after a boot, can tell the age of."""
+    """A point in time whose age another process of this machine can compute, also after a reboot."""
 
-    boot: str  # which boot of the machine
-    at: int  # nanoseconds since it; sleep counts, and no wall clock moves it
-    wall: int  # nanoseconds of Unix time
+    boot: str  # boot ID of the machine
+    at: int  # nanoseconds since the boot, suspend included; independent of the wall clock
+    wall: int  # Unix time in nanoseconds
 
 
-_boot = ""  # of this machine, once read: it stays the same for as long as a process lives
+_boot = ""  # boot ID, cached: it does not change during the life of a process
 
 
 def moment(clock: Clock) -> Moment:
-    """Raises OSError where the machine tells no boot, or cannot at the moment."""
+    """The current point in time. Raises OSError if the boot ID cannot be read."""
     global _boot
     if not _boot:
         with open("/proc/sys/kernel/random/boot_id", encoding="ascii") as file:
--- a/sprucenotch/seams/disk.py
+++ b/sprucenotch/seams/disk.py
@@ -1,6 +1,6 @@
-"""A folder of files as whoever keeps something uses it: few operations, each with a stated promise.
+"""A folder of files: a minimal set of operations with stated durability guarantees.
 
-What is written is visible at once, to every reader and after the process was killed. It survives a power cut
+Written data is visible to all readers at once, and survives the end of the process. It survives a power cut
 only after `File.sync` of the file and `Disk.sync_names` for its name. Source: POSIX write, fsync, rename.
 """
 
@@ -18,10 +18,10 @@
     """A file open for writing. Every method raises OSError."""
 
     def write(self, data: bytes) -> None:
-        """Append. Where it raises, some of the data may have been written."""
+        """Append. If it raises, part of the data may have been written."""
 
     def sync(self) -> None:
-        """What was written survives a power cut once this returns; after an error of it nothing is known."""
+        """Make written data durable. After an error, the state on disk is unknown."""
 
     def truncate(self, size: int) -> None: ...
 
@@ -34,26 +34,26 @@
     def names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes:
-        """Of a regular file; a link is not followed."""
+        """The content of a regular file; symbolic links are not followed."""
         ...
 
     def open(self, name: str, anew: bool = False) -> File:
-        """For appending; `anew` makes it empty first."""
+        """Open for appending, creating the file if needed; `anew` truncates it first."""
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Atomic to every reader; what `new` was before is gone."""
+        """Rename atomically, replacing `new`."""
 
     def remove(self, name: str) -> None: ...
 
     def sync_names(self) -> None:
-        """Which names there are, and of which files, survives a power cut once this returns."""
+        """Make the folder's entries durable: creations, renames and removals."""
 
     def lock(self, name: str) -> None:
-        """Hold that file as long as this process lives. Raises BlockingIOError while another one does."""
+        """Lock a file until `unlock` or the end of the process. Raises BlockingIOError if it is taken."""
 
     def unlock(self) -> None:
-        """Let go of all files that are held."""
+        """Release all locks."""
 
 
 class RealFile:
@@ -62,9 +62,9 @@
         self._descriptor = os.open(path, flags | (os.O_TRUNC if anew else 0), 0o600)
 
     def write(self, data: bytes) -> None:
-        left = memoryview(data)
-        while left:
-            left = left[os.write(self._descriptor, left) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(self._descriptor, remaining) :]
 
     def sync(self) -> None:
         os.fsync(self._descriptor)
@@ -89,7 +89,7 @@
     def read(self, name: str) -> bytes:
         descriptor = os.open(self._folder / name, os.O_RDONLY | os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK)
         with open(descriptor, "rb") as file:
-            if not stat.S_ISREG(os.fstat(descriptor).st_mode):  # a pipe, say, would be waited for
+            if not stat.S_ISREG(os.fstat(descriptor).st_mode):  # reading a pipe, for example, could block
                 raise OSError(errno.ELOOP, "not a regular file", name)
             return file.read()
 
@@ -106,14 +106,16 @@
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW
         descriptor = os.open(self._folder / name, flags, 0o600)
         try:
-            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)  # the kernel lets go of it at the end
+            fcntl.flock(
+                descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB
+            )  # the kernel releases it when the process ends
         except OSError:
             os.close(descriptor)
             raise
         self._locks.append(descriptor)
 
     def unlock(self) -> None:
-        """Let go of all files that are held, as the end of the process does."""
+        """Release all locks, as the end of the process does."""
         while self._locks:
             os.close(self._locks.pop())
 
--- a/sprucenotch/seams/recorded.py
+++ b/sprucenotch/seams/recorded.py
@@ -1,4 +1,4 @@
-"""A disk whose operations outlive the process, so that a power cut at any moment of it can be replayed."""
+"""A disk that records its operations, so that a power cut at any point can be simulated later."""
 
 from __future__ import annotations
 
@@ -12,6 +12,8 @@
 
 
 class Operation(NamedTuple):
+    """An operation on a disk, as it is encoded in the record."""
+
     do: str
     name: str = ""
     other: str = ""
@@ -20,7 +22,7 @@
 
 
 class Recorded:
-    """A disk whose operations are told to a file once they are done, so that it outlives the process."""
+    """Wraps a disk and appends each completed operation to a record file, which outlives the process."""
 
     def __init__(self, disk: Disk, record: Path) -> None:
         self._disk = disk
@@ -28,9 +30,9 @@
 
     def tell(self, operation: Operation) -> None:
         raw = msgspec.msgpack.encode(operation)
-        left = memoryview(len(raw).to_bytes(4, "big") + raw)
-        while left:  # a write may take a part only
-            left = left[os.write(self._record, left) :]
+        remaining = memoryview(len(raw).to_bytes(4, "big") + raw)
+        while remaining:  # a write may be partial
+            remaining = remaining[os.write(self._record, remaining) :]
 
     def names(self) -> list[str]:
         return self._disk.names()
--- a/sprucenotch/seams/system_errors.py
+++ b/sprucenotch/seams/system_errors.py
@@ -1,7 +1,7 @@
-"""Failures of system calls that come from this machine and pass, and how such calls are spaced.
+"""Transient local failures of system calls, and the delays between retries.
 
-A call that fails for want of descriptors, buffers or local ports says nothing of the peer. It is tried again
-within the time of whatever needs it. Sources: accept(2), socket(2), connect(2), bind(2), write(2).
+A call that fails for lack of descriptors, buffers or local ports is no evidence about the peer. It is retried
+within the caller's timeout. Sources: accept(2), socket(2), connect(2), bind(2), write(2).
 """
 
 from __future__ import annotations
@@ -11,36 +11,38 @@
 from collections.abc import Awaitable, Callable, Iterator
 from typing import TypeVar
 
-# This process, or the machine, has no more descriptors, or no memory.
+# The process or the machine is out of descriptors or memory.
 EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-# Making a connection failed before any packet left: local ports, routes, packet filters.
-LOCAL = EXHAUSTED | {
+# Connecting failed before any packet was sent: local ports, routes, packet filters.
+LOCAL_ERRORS = EXHAUSTED | {
     errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR, errno.ENETDOWN, errno.ENETUNREACH,
     errno.EPERM,
 }  # fmt: skip
-# A file cannot be opened or read for the moment.
+# Transient failures to open or read a file.
 FILE_PASSING = EXHAUSTED | {errno.EAGAIN, errno.EBUSY, errno.EINTR, errno.EIO, errno.ESTALE}
 
 T = TypeVar("T")
 
-FAILURES_BEFORE_ROOM = 2  # in a row: one alone may pass by itself
-FIRST_PAUSE = 0.005  # seconds before the first repetition of a failed call
-MAX_PAUSE = 0.08  # seconds; each pause is twice the one before, up to this
+FAILURES_BEFORE_FREEING = 2  # consecutive; a single failure is often transient
+FIRST_PAUSE = 0.005  # seconds before the first retry
+MAX_PAUSE = 0.08  # seconds; pauses double up to this
 
 
 def is_exhaustion(problem: BaseException) -> bool:
-    """Whether descriptors or memory ran out."""
+    """Whether the error means that descriptors or memory ran out."""
     return isinstance(problem, OSError) and problem.errno in EXHAUSTED
 
 
 def is_local(problem: BaseException) -> bool:
-    """Whether making a connection or a listener failed on this machine, for what may pass."""
-    return isinstance(problem, OSError) and problem.errno in LOCAL
+    """Whether opening a connection or a listener failed for a transient reason on this machine."""
+    return isinstance(problem, OSError) and problem.errno in LOCAL_ERRORS
 
 
 class Shortage:
-    """Failures of one call in a row. The first may pass by itself; from the next on, where descriptors or
-    memory are what it lacks, something has to make room."""
+    """Counts consecutive failures of a call.
+
+    A single failure may be transient; if descriptors or memory run out again, resources must be freed.
+    """
 
     __slots__ = ("_failures",)
 
@@ -48,30 +50,32 @@
         self._failures = 0
 
     def lasts(self, problem: OSError) -> bool:
-        """Count a failure. Whether room is to be made."""
+        """Count a failure. Returns whether resources must be freed."""
         self._failures += 1
-        return is_exhaustion(problem) and self._failures >= FAILURES_BEFORE_ROOM
+        return is_exhaustion(problem) and self._failures >= FAILURES_BEFORE_FREEING
 
     def ends(self) -> None:
-        """The call has succeeded."""
+        """Reset after the call has succeeded."""
         self._failures = 0
 
 
 def ignore(problem: OSError) -> None:
-    """For failures that nobody needs to hear of."""
+    """A callback that ignores a failure."""
 
 
 async def retried(
     call: Callable[[], Awaitable[T]], timeout: float, failed: Callable[[OSError], None] = ignore
 ) -> T:
-    """What `call` brings, which is made again after each local failure for at most so many seconds; `failed`
-    hears of each that is tried again. Raises what the last one raised."""
-    give_up_at = get_running_loop().time() + timeout
+    """Call and return the result; retry after local failures for at most `timeout` seconds.
+
+    `failed` is called with each failure that is retried. Raises the last failure.
+    """
+    deadline = get_running_loop().time() + timeout
     for pause in pauses():
         try:
             return await call()
         except OSError as problem:
-            if not is_local(problem) or get_running_loop().time() + pause > give_up_at:
+            if not is_local(problem) or get_running_loop().time() + pause > deadline:
                 raise
             failed(problem)
         await sleep(pause)
@@ -79,7 +83,7 @@
 
 
 def pauses() -> Iterator[float]:
-    """Seconds to wait before each repetition, without end."""
+    """An endless sequence of delays before retries, in seconds."""
     pause = FIRST_PAUSE
     while True:
         yield pause
--- a/tests/test_attempt_trace.py
+++ b/tests/test_attempt_trace.py
@@ -1,4 +1,4 @@
-"""The checker that compares each attempt that servers took with those that its sidecar tells of."""
+"""The checker that compares the attempts that engines received with those that the sidecar logged."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from sprucenotch.rig.truth.history import Event, Process, Ran, Sent, Wrote
 from sprucenotch.rig.truth.ledger import Finding, Ledger, Rules, Terms
-from sprucenotch.rig.truth.more_checks import Untold
+from sprucenotch.rig.truth.more_checks import UnloggedAttempt
 
 STARTED = Process(at=0.0, name="sidecar-0", what="started", life=0)
 SENT = Sent(at=1.0, id="c0-1", call="c0-1", cls="read", sidecar="sidecar-0", due=1.0, deadline=1.0)
@@ -22,23 +22,23 @@
 
 def judged(*events: Event) -> tuple[list[Finding], Ledger]:
     ledger = Ledger([STARTED, SENT, *events], {"read": Terms()}, Rules())
-    return list(Untold().check(ledger)), ledger
+    return list(UnloggedAttempt().check(ledger)), ledger
 
 
-def test_attempts_that_are_told_of_and_taken_are_fine() -> None:
+def test_unlogged_attempt_checker_accepts_attempts_that_were_logged() -> None:
     found, ledger = judged(wrote("c0-1", 1), wrote("c0-1", 2), taken(1.1), taken(1.4))
     assert not found and ledger.judged["attempt untold"] == 1
 
 
-def test_an_attempt_that_a_server_took_and_its_sidecar_does_not_know_of_is_named_by_its_request() -> None:
+def test_unlogged_attempt_checker_reports_the_request_of_an_attempt_missing_from_the_log() -> None:
     found, _ = judged(wrote("c0-1", 1), taken(1.1), taken(1.4))
     assert [(one.who, one.said) for one in found] == [
-        ("sidecar-0", "c0-1: engines took 2 attempts, sidecar-0 tells of 1")
+        ("sidecar-0", "c0-1: engines took 2 attempts, sidecar-0 logged 1")
     ]
 
 
 @pytest.mark.parametrize("what", ["killed", "started"])
-def test_a_process_that_was_killed_or_had_a_successor_may_not_have_told(what: str) -> None:
+def test_unlogged_attempt_checker_excuses_a_killed_or_replaced_process(what: str) -> None:
     other = Process(at=1.5, name="sidecar-0", what=what, life=int(what == "started"))  # type: ignore[arg-type]
     found, ledger = judged(wrote("c0-0", 1), taken(1.1), other)
     assert not found and ledger.excused["attempt untold"] == 1
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from sprucenotch.rig import nemesis, plan
-from sprucenotch.rig.actions import _in_turns
+from sprucenotch.rig.actions import _in_batches
 from sprucenotch.rig.net.datagrams import PeerRelays
 from sprucenotch.rig.net.link import Link, LinkFault
 from sprucenotch.rig.net.relay import Relay
@@ -302,7 +302,7 @@
                 await asyncio.sleep(0)
 
         task = asyncio.create_task(other())
-        await _in_turns([Link("a", str(n)) for n in range(160)], lambda link: link.heal(1))
+        await _in_batches([Link("a", str(n)) for n in range(160)], lambda link: link.heal(1))
         task.cancel()
         return turns
 
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -99,15 +99,20 @@
     assert added.judged == {"lost": 200} and added.faults == {"cut": 4}
     assert added.holes() == ["recovery"]
     found = campaign.finds(rows, [Failed(Job("p", "s", 4), 5, "sidecar-1 ended with code 1")])
-    assert [(find.seed, find.rule, find.times) for find in found] == [(2, "lost", 2), (4, campaign.DEAD, 1)]
+    assert [(find.seed, find.rule, find.times) for find in found] == [
+        (2, "lost", 2),
+        (4, campaign.ENDED_EARLY, 1),
+    ]
 
 
 def test_a_crash_of_the_testbed_is_no_find_and_counts_by_its_reason() -> None:
     crash = Failed(Job("p", "s", 4), 1, "msgspec.DecodeError: Input data was truncated", crashed=True)
     dead = Failed(Job("p", "s", 5), 5, "sidecar-1 ended with code 1")
-    assert [(find.seed, find.rule) for find in campaign.finds([], [crash, dead])] == [(5, campaign.DEAD)]
+    assert [(find.seed, find.rule) for find in campaign.finds([], [crash, dead])] == [
+        (5, campaign.ENDED_EARLY)
+    ]
     added = campaign.total([], [crash, dead, crash])
-    assert added.not_played == {campaign.CRASHED: 2, campaign.DEAD: 1}
+    assert added.not_played == {campaign.CRASHED: 2, campaign.ENDED_EARLY: 1}
 
 
 def test_the_error_of_a_crash_is_named_also_within_a_group_of_errors() -> None:
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -76,7 +76,7 @@
         store.add("b", result(3, 0.5))
         left = open_jobs(store, [Job("a", "a", seed) for seed in (1, 2, 3)])
         assert [job.seed for job in left] == [2, 3]
-        store._base.execute("PRAGMA max_page_count = 12")
+        store._database.execute("PRAGMA max_page_count = 12")
         with pytest.raises(StoreError, match="full"):
             store.add("a", result(4, 0.5), logs={"x": os.urandom(100_000).hex()})
         assert [row.result.seed for row in store.rows()] == [1, 2, 3]
