--- a/sprucenotch/rig/cuts.py
+++ b/sprucenotch/rig/cuts.py
@@ -160,24 +160,24 @@
 
 def _violation(volume: Volume, progress: Progress) -> str | None:
     opened = open_store(volume, OWNER, SCHEMA, NOW)
-    kept = list(opened.found.records)
+    recovered = list(opened.found.records)
     if opened.problem:
         return f"the store cannot be opened: {opened.problem}"
-    if kept != progress.appended[: len(kept)]:
-        return f"{len(kept)} records are not a prefix of the {len(progress.appended)} appended"
-    if len(kept) < progress.promised:
-        return f"{len(kept)} records, but {progress.promised} were guaranteed"
+    if recovered != progress.appended[: len(recovered)]:
+        return f"{len(recovered)} records are not a prefix of the {len(progress.appended)} appended"
+    if len(recovered) < progress.promised:
+        return f"{len(recovered)} records, but {progress.promised} were guaranteed"
     return None
 
 
 @contextlib.contextmanager
 def _without_checksums() -> Iterator[None]:
     """Disable checksums: all are 0."""
-    kept, frame.checksum = frame.checksum, lambda sequence, payload: 0
+    original, frame.checksum = frame.checksum, lambda sequence, payload: 0
     try:
         yield
     finally:
-        frame.checksum = kept
+        frame.checksum = original
 
 
 def main() -> int:
--- a/sprucenotch/rig/hunt/campaign.py
+++ b/sprucenotch/rig/hunt/campaign.py
@@ -110,8 +110,8 @@
         # Equal schedules are played as separate jobs.
         failed = await sweep.run(store, jobs, self._jobs, lambda job: None)
         broken = {one.job.plan for one in failed if not one.crashed} if rule == ENDED_EARLY else set[str]()
-        with Store(store) as kept:
-            rows = list(kept.rows())
+        with Store(store) as trials:
+            rows = list(trials.rows())
         counts = Counter(row.plan for row in rows if any(f.rule == rule for f in row.result.findings))
         outcomes = []
         for job in jobs:
--- a/sprucenotch/rig/truth/more_checks.py
+++ b/sprucenotch/rig/truth/more_checks.py
@@ -14,7 +14,7 @@
 MAX_TRANSFER_TIME = 0.05  # seconds for a request to pass between two processes of one machine
 MAX_STALL = 3.0  # seconds within which a stalled request must get an error or a close
 SIGNAL_WAKEUP_WARNING = "Exception ignored when trying to write to the signal wakeup fd"
-MAX_LINE_LENGTH = 600  # characters of a log line that are kept
+MAX_LINE_LENGTH = 600  # characters of a log line in a finding
 MAX_START_TIME = 10.0  # seconds within which a restarted process is ready
 
 
--- a/sprucenotch/seams/clock.py
+++ b/sprucenotch/seams/clock.py
@@ -13,7 +13,8 @@
 class Clock:
     """Monotonic time, anchored once to the wall clock.
 
-    All sidecars so agree on the time of day and on start times; later steps of the wall clock have no effect.
+    This way all sidecars agree on the time of day and on start times. Later steps of the wall clock have no
+    effect.
     """
 
     def __init__(
--- a/tests/planted_hunt.py
+++ b/tests/planted_hunt.py
@@ -1,6 +1,6 @@
-"""`python -m tests.planted_hunt FAULT`: a sidecar with one mend undone, for the hunt to find.
+"""`python -m tests.planted_hunt FAULT`: a sidecar with one bug fix undone, for the hunt to find.
 
-Each is a small patch against the program as it is. FAULTS names the rules under which the hunt may find it.
+Each fault is a small patch of the program. FAULTS lists the rules under which the hunt may report it.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 SECOND = 1_000_000_000
 
 
-def shuts_what_it_cannot_take() -> None:
-    """A: accept that fails for want of descriptors takes what waits and closes it."""
+def close_waiting_connection_without_descriptors() -> None:
+    """A: when accept fails for lack of descriptors, a waiting connection is accepted and closed."""
     pause = acceptor.Acceptor._pause_after
 
     async def planted(self: acceptor.Acceptor, problem: OSError) -> None:
@@ -43,8 +43,8 @@
     acceptor.Acceptor._pause_after = planted  # type: ignore[method-assign]
 
 
-def takes_failure_for_an_empty_queue() -> None:
-    """B: as the listener closes, any failure of accept ends the taking."""
+def stop_accepting_on_any_failure() -> None:
+    """B: while the listener closes, any failure of accept ends accepting the waiting connections."""
 
     async def planted(self: acceptor.Acceptor) -> None:
         try:
@@ -57,8 +57,8 @@
     acceptor.Acceptor._take_all_waiting = planted  # type: ignore[method-assign]
 
 
-def blames_the_server() -> None:
-    """C: a connection that fails on this machine is not tried again, and held against the server."""
+def blame_server_for_local_failures() -> None:
+    """C: a connection attempt that fails locally is not retried, and counts as a failure of the server."""
 
     async def planted(call: Callable[[], Awaitable[T]], timeout: float, failed: Any = None) -> T:
         return await call()
@@ -67,8 +67,8 @@
     vars(attempt)["is_exhaustion"] = lambda problem: False
 
 
-def ends_by_a_signal_to_reload() -> None:
-    """SIGHUP before the program is up ends it."""
+def exit_on_early_reload_signal() -> None:
+    """SIGHUP during startup ends the process."""
     import signal
 
     load = serve.load_at_start
@@ -80,15 +80,15 @@
     serve.load_at_start = planted
 
 
-def ignores_a_drain_while_connecting() -> None:
+def ignore_drain_while_connecting() -> None:
     Pool.takes = lambda self, connection: connection.dial == self.dial  # type: ignore[method-assign]
 
 
-def calls_late_at_the_start() -> None:
+def delay_first_discovery_call() -> None:
     CallSchedule.start = lambda self, now, settings: 4 * SECOND  # type: ignore[method-assign]
 
 
-def serves_before_discovery_has_answered() -> None:
+def serve_before_discovery_answered() -> None:
     Host.informed = property(lambda self: self.listed)  # type: ignore[assignment]
 
     async def planted(self: Host) -> None:
@@ -98,17 +98,17 @@
     Host.until_informed = planted  # type: ignore[method-assign]
 
 
-def takes_older_lists() -> None:
+def accept_older_lists() -> None:
     Withdrawals.reconcile = lambda self, told, now: told  # type: ignore[method-assign]
 
 
-def sends_for_clients_that_left() -> None:
+def send_for_clients_that_left() -> None:
     ClientConnection.connected = lambda self: True  # type: ignore[method-assign]
     ClientConnection.eof_received = lambda self: True  # type: ignore[method-assign, assignment]
     Host.gone = lambda self, rid: None  # type: ignore[method-assign]
 
 
-def tells_the_whole_deadline() -> None:
+def send_full_deadline() -> None:
     def planted(self: ledger.Open, now: Callable[[], int]) -> bytes:
         left = self.incoming.deadline
         return b"%sReq-Deadline: %.3f\r\n\r\n%s" % (self.incoming.head, left / SECOND, self.incoming.body)
@@ -116,11 +116,11 @@
     ledger.Open.payload = planted  # type: ignore[method-assign]
 
 
-def keeps_bad_clients() -> None:
+def keep_stalled_clients() -> None:
     patience.Patience.over = lambda self, passed, headed, size: False  # type: ignore[method-assign]
 
 
-def repeats_after_the_window() -> None:
+def retry_after_window() -> None:
     def planted(request: Any, outcome: int, now: int, budget: float, overload: bool) -> Reason | None:
         over = now >= request.expires or request.attempts >= request.tries
         return Reason.EXPIRED if over or request.cls.effect == Effect.UNSAFE else None
@@ -137,8 +137,8 @@
     Host._send.__globals__["Rules"].may_repeat = lambda self, request, before: True
 
 
-def calls_what_went_out_in_part_a_time_out() -> None:
-    """What never went out counts as a time-out, which may have run."""
+def count_partial_send_as_timeout() -> None:
+    """An attempt never sent completely counts as a timeout, which may have run."""
 
     def planted(self: attempt.Attempt, outcome: int) -> None:
         if self._rest is not None:
@@ -152,17 +152,17 @@
     attempt.Attempt.abandon = planted  # type: ignore[method-assign]
 
 
-def uses_connections_at_once() -> None:
+def reuse_connections_immediately() -> None:
     upstream.REST = 0
 
 
-def closes_over_what_is_pipelined() -> None:
-    """A stopping sidecar ends the connection with the first answer, whatever else came on it."""
+def close_with_pipelined_requests_pending() -> None:
+    """A stopping sidecar closes a connection after the first answer, in spite of pipelined requests."""
     ClientConnection._nothing_after = lambda self, exchange: True  # type: ignore[method-assign]
 
 
-def ends_at_once() -> None:
-    """SIGTERM ends it though requests are under way."""
+def exit_immediately() -> None:
+    """SIGTERM ends the process although requests are in progress."""
     from sprucenotch.node.frontend import Frontend
 
     async def planted(self: Frontend) -> None:
@@ -171,56 +171,59 @@
     Frontend.finished = planted  # type: ignore[method-assign]
 
 
-def reads_the_wall_clock() -> None:
+def read_wall_clock() -> None:
     clock.Clock.now = lambda self: time.time_ns()  # type: ignore[method-assign]
 
 
-def counts_births_by_a_wrong_clock() -> None:
-    """D: starts of servers are compared with a clock that was stepped."""
+def use_stepped_clock_for_start_times() -> None:
+    """D: start times of servers are compared with a clock that was stepped."""
     Engines.reckon_births = lambda self: None  # type: ignore[method-assign]
 
 
-def forgets_the_kill() -> None:
-    """What comes late after SIGTERM keeps its whole time."""
+def ignore_kill_deadline() -> None:
+    """Requests that arrive late after SIGTERM keep their whole deadline."""
     Host._expiry = lambda self, now, deadline: now + deadline - 10_000_000  # type: ignore[method-assign]
 
 
-def gives_up_discovery() -> None:
-    """A call that failed is the last."""
+def give_up_discovery() -> None:
+    """Discovery is not called again after a failed call."""
     balance.Balancer.on_call_failed = lambda self, now, silent: None  # type: ignore[method-assign]
 
 
 FAULTS: dict[str, tuple[Callable[[], None], frozenset[str]]] = {
-    "A_accept": (shuts_what_it_cannot_take, frozenset({"lost"})),
-    "B_close": (takes_failure_for_an_empty_queue, frozenset({"lost"})),
-    "C_connect": (blames_the_server, frozenset({"refused for a local failure", "telemetry untrue"})),
-    "early_signal": (ends_by_a_signal_to_reload, frozenset({"ended or did not start"})),
+    "A_accept": (close_waiting_connection_without_descriptors, frozenset({"lost"})),
+    "B_close": (stop_accepting_on_any_failure, frozenset({"lost"})),
+    "C_connect": (
+        blame_server_for_local_failures,
+        frozenset({"refused for a local failure", "telemetry untrue"}),
+    ),
+    "early_signal": (exit_on_early_reload_signal, frozenset({"ended or did not start"})),
     "drain_while_connecting": (
-        ignores_a_drain_while_connecting,
+        ignore_drain_while_connecting,
         frozenset({"sent to a drained engine", "broken by its own word"}),
     ),
-    "first_call_late": (calls_late_at_the_start, frozenset({"sent to a drained engine"})),
+    "first_call_late": (delay_first_discovery_call, frozenset({"sent to a drained engine"})),
     "uninformed": (
-        serves_before_discovery_has_answered,
+        serve_before_discovery_answered,
         frozenset({"sent to a drained engine", "broken by its own word"}),
     ),
-    "older_lists": (takes_older_lists, frozenset({"sent to a drained engine"})),
-    "clients_that_left": (sends_for_clients_that_left, frozenset({"sent after its client left"})),
-    "deadline": (tells_the_whole_deadline, frozenset({"deadline beyond the time left"})),
-    "bad_clients": (keeps_bad_clients, frozenset({"bad client kept"})),
-    "window": (repeats_after_the_window, frozenset({"run twice", "broken by its own word"})),
+    "older_lists": (accept_older_lists, frozenset({"sent to a drained engine"})),
+    "clients_that_left": (send_for_clients_that_left, frozenset({"sent after its client left"})),
+    "deadline": (send_full_deadline, frozenset({"deadline beyond the time left"})),
+    "bad_clients": (keep_stalled_clients, frozenset({"bad client kept"})),
+    "window": (retry_after_window, frozenset({"run twice", "broken by its own word"})),
     "fragile": (repeats_what_may_have_run, frozenset({"run twice"})),
-    "in_part": (calls_what_went_out_in_part_a_time_out, frozenset({"run twice"})),
-    "no_rest": (uses_connections_at_once, frozenset({"not made"})),
-    "pipelined": (closes_over_what_is_pipelined, frozenset({"lost"})),
-    "ends_at_once": (ends_at_once, frozenset({"lost"})),
-    "wall_clock": (reads_the_wall_clock, frozenset({"overdue", "deadline beyond the time left", "lost"})),
-    "births": (counts_births_by_a_wrong_clock, frozenset({"cold engine overloaded"})),
-    "kill": (forgets_the_kill, frozenset({"lost", "overdue"})),
-    "discovery": (gives_up_discovery, frozenset({"sent to a drained engine"})),
+    "in_part": (count_partial_send_as_timeout, frozenset({"run twice"})),
+    "no_rest": (reuse_connections_immediately, frozenset({"not made"})),
+    "pipelined": (close_with_pipelined_requests_pending, frozenset({"lost"})),
+    "ends_at_once": (exit_immediately, frozenset({"lost"})),
+    "wall_clock": (read_wall_clock, frozenset({"overdue", "deadline beyond the time left", "lost"})),
+    "births": (use_stepped_clock_for_start_times, frozenset({"cold engine overloaded"})),
+    "kill": (ignore_kill_deadline, frozenset({"lost", "overdue"})),
+    "discovery": (give_up_discovery, frozenset({"sent to a drained engine"})),
 }
 
-# What a schedule has to draw for a fault to show: kinds of faults, as `draw.kind` names them.
+# Kinds of faults, as named by `draw.kind`, one of which a schedule needs for the planted fault to show.
 TRIGGERS: dict[str, frozenset[str]] = {
     "A_accept": frozenset({"system calls accept"}),
     "B_close": frozenset({"system calls accept"}),
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The rig's processes with faults between them, and the ledger that must find what was planted."""
+"""Faults in runs of the testbed, links and datagrams; the checkers must find planted faults."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from tests.planted import AT_STARTS, FAULTS
 from tests.sidecar import run
 
-# Every sidecar meets what its planted fault needs to show: fragile requests, engines that fail, that are
-# silent, and that drain for longer than the grace.
+# Provides what each planted fault needs to show: fragile requests, and engines that fail, do not answer, or
+# drain for longer than the grace period.
 PLANTED = """
 title = "planted faults"
 length = "4s"
@@ -50,7 +50,7 @@
     return uvloop.run(Play(plan.decode(text.encode()), seed, programs=programs).run())
 
 
-def test_every_planted_fault_is_found_under_its_name_and_nothing_else_is() -> None:
+def test_checkers_planted_faults_each_reported_under_its_rule_only() -> None:
     programs = {
         f"sidecar-{number}": Program((sys.executable, "-m", "tests.planted", name), ROOT)
         for number, name in enumerate(FAULTS)
@@ -63,7 +63,7 @@
     assert all(finding.time_line for finding in result.findings if finding.rule != "telemetry untrue")
 
 
-# Each loses its process and starts again, the last two by a power cut; engines are replaced meanwhile.
+# Each sidecar is killed and restarted, the last two by a power cut, while engines are replaced.
 AT_STARTS_PLAN = """
 title = "planted faults at starts"
 length = "3800ms"
@@ -78,7 +78,7 @@
 """
 
 
-def test_every_planted_fault_of_what_is_kept_is_found_at_the_next_start() -> None:
+def test_recovery_checker_planted_state_faults_reported_at_next_start() -> None:
     programs = {
         f"sidecar-{number}": Program((sys.executable, "-m", "tests.planted", name), ROOT)
         for number, name in enumerate(AT_STARTS)
@@ -94,12 +94,12 @@
 
 
 class Echo(asyncio.Protocol):
-    """Sends back what comes. `made` counts the connections that came up."""
+    """Echoes received data. `connections` counts connections."""
 
-    made = 0
+    connections = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        Echo.made += 1
+        Echo.connections += 1
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
@@ -119,7 +119,7 @@
         server.close()
 
 
-def test_a_cut_is_silent_both_ways_and_what_waited_comes_through_once_healed() -> None:
+def test_link_cut_passes_nothing_and_delivers_pending_data_once_healed() -> None:
     async def test() -> None:
         async with relayed() as (relay, link):
             reader, writer = await asyncio.open_connection(*relay.address)
@@ -128,25 +128,25 @@
             link.harm(1, LinkFault(cut=True))
             link.harm(2, LinkFault(way="there", delay=0.01))
             writer.write(b"during")
-            made = Echo.made
-            coming = asyncio.ensure_future(asyncio.open_connection(*relay.address))
-            # Another link's traffic goes on: whatever the cut one had to show has been shown.
+            connections = Echo.connections
+            pending = asyncio.ensure_future(asyncio.open_connection(*relay.address))
+            # Traffic on another link passes first, so anything from the cut link would have arrived by now.
             async with relayed() as (other, _):
                 there, back = await asyncio.open_connection(*other.address)
                 back.write(b"x")
                 await there.readexactly(1)
-            assert not coming.done() and Echo.made == made + 1
+            assert not pending.done() and Echo.connections == connections + 1
             assert not reader._buffer  # type: ignore[attr-defined]
             link.heal(1)
             assert await reader.readexactly(6) == b"during"
-            reader, writer = await coming
+            reader, writer = await pending
             writer.write(b"after")
             assert await reader.readexactly(5) == b"after"
 
     run(test())
 
 
-def test_a_reset_comes_in_the_middle_and_a_half_open_link_says_nothing_until_it_is_healed() -> None:
+def test_link_reset_within_an_answer_and_half_open_until_healed() -> None:
     async def test() -> None:
         async with relayed() as (relay, link):
             link.harm(1, LinkFault(way="back", reset_after=10))
@@ -156,7 +156,7 @@
                 await reader.readexactly(30)
             link.heal(1)
             link.harm(2, LinkFault(half_open=True))
-            made = Echo.made
+            connections = Echo.connections
             reader, writer = await asyncio.open_connection(*relay.address)
             writer.write(b"x")
             relay.refuse()
@@ -165,12 +165,12 @@
             link.heal(2)
             with pytest.raises(ConnectionResetError):
                 await reader.readexactly(1)
-            assert Echo.made == made
+            assert Echo.connections == connections
 
     run(test())
 
 
-def test_a_thousand_connections_pass_one_relay_whole_and_in_order() -> None:
+def test_relay_thousand_connections_deliver_data_complete_and_in_order() -> None:
     async def test() -> None:
         allow_descriptors()
         async with relayed() as (relay, link):
@@ -182,7 +182,7 @@
                 sent = b"".join(b"%d %d," % (number, part) for part in range(5))
                 async with opening:
                     reader, writer = await asyncio.open_connection(*relay.address)
-                await up.wait()  # all of them are open
+                await up.wait()  # until all are open
                 for start in range(0, len(sent), 16):
                     writer.write(sent[start : start + 16])
                     await asyncio.sleep(0)
@@ -195,7 +195,7 @@
     run(test())
 
 
-def test_datagrams_are_lost_doubled_and_carried_under_the_senders_address() -> None:
+def test_datagrams_are_lost_duplicated_and_keep_the_senders_relay_address() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         got: dict[str, list[tuple[bytes, str]]] = {"a": [], "b": [], "c": []}
@@ -226,7 +226,7 @@
         send("a", "*", b"all")
         send("a", "b", b"last")
         await arrived.wait()
-        known = relays.dial("b", "a")  # by this address b knows a
+        known = relays.dial("b", "a")  # the address of a as b sees it
         assert got["b"][:3] == [(b"all", known), (b"all", known), (b"last", known)]
         assert got["c"] == [] and relays.dropped == 1
         relays.close()
@@ -243,7 +243,7 @@
     seed=st.integers(0, 2**32), every=st.integers(50, 2000), shortest=st.integers(1, 900),
     more=st.integers(0, 4000), at_once=st.integers(1, 5),
 )  # fmt: skip
-def test_a_nemesis_draws_the_same_for_a_seed_never_too_many_and_always_heals(
+def test_nemesis_is_deterministic_respects_the_overlap_limit_and_heals_in_time(
     seed: int, every: int, shortest: int, more: int, at_once: int
 ) -> None:
     text = f"""
@@ -258,16 +258,16 @@
         at_once = {at_once}
         fault = [{{ do = "pause", on = "sidecar-*" }}, {{ do = "restart", on = "engine-*" }}]
     """
-    drawn, again = (nemesis.steps(plan.decode(text.encode()), seed) for _ in range(2))
-    assert drawn == again
+    drawn, drawn_again = (nemesis.steps(plan.decode(text.encode()), seed) for _ in range(2))
+    assert drawn == drawn_again
     assert all(step.at >= 1 and step.at + step.lasts <= 10 for step in drawn)
     ends = [step.at + (step.lasts or nemesis.OWN_TIME) for step in drawn]
     for step in drawn:
-        over = [one for one, end in zip(drawn, ends, strict=True) if one.at <= step.at < end]
-        assert len(over) <= at_once
+        active = [one for one, end in zip(drawn, ends, strict=True) if one.at <= step.at < end]
+        assert len(active) <= at_once
 
 
-def test_everything_wrong_in_a_plan_is_told_at_once() -> None:
+def test_plan_with_several_errors_reports_all_of_them() -> None:
     text = b"""
         titel = "x"
         length = "12"
@@ -275,9 +275,9 @@
         step = [{ do = "pausee", at = "1s" }, { do = "cut", source = "sidecar-*", at = "1s" },
                 { do = "pause", on = "sidecar-0", at = "1s" }]
     """
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as raised:
         plan.decode(text)
-    paths = [problem.path for problem in told.value.problems]
+    paths = [problem.path for problem in raised.value.problems]
     assert paths == ["titel", "length", "fleet.sidecars", "title", "step[0].do", "step[1].target",
                      "step[2].lasts"]  # fmt: skip
     impossible = b"""
@@ -286,12 +286,12 @@
         step = [{ do = "pause", on = "sidecar-7", at = "2s", lasts = "2s" },
                 { do = "cut", source = "engine-*", target = "sidecar-*", at = "0s", lasts = "1s" }]
     """
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as raised:
         plan.decode(impossible)
-    assert len(told.value.problems) == 3
+    assert len(raised.value.problems) == 3
 
 
-def test_a_fault_of_many_links_lets_others_have_their_turn() -> None:
+def test_fault_on_many_links_yields_to_the_event_loop() -> None:
     async def turns_meanwhile() -> int:
         turns = 0
 
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -1,4 +1,4 @@
-"""The hunt: what it draws, how it makes a schedule smaller, what it adds up, and one short run."""
+"""The hunt: drawn schedules, their reduction, the sums over runs, and one short run."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
     return [str(step["do"]) for step in planned.steps]
 
 
-def test_a_schedule_follows_from_its_seed_and_is_a_plan_whose_faults_overlap() -> None:
+def test_schedule_is_determined_by_its_seed_and_decodes_to_a_plan_with_overlapping_faults() -> None:
     for seed in range(150):
         drawn = schedule(seed, 20.0)
         assert drawn == schedule(seed, 20.0)
-        told = plan.decode(drawn.text().encode())
-        assert told.length == 20.0 and 10 <= told.fleet.sidecars <= 14
-        begins = sorted(step.at for step in told.steps)
+        decoded = plan.decode(drawn.text().encode())
+        assert decoded.length == 20.0 and 10 <= decoded.fleet.sidecars <= 14
+        begins = sorted(step.at for step in decoded.steps)
         assert any(later - earlier < 0.8 for earlier, later in pairwise(begins))
 
 
-def test_the_seeds_draw_faults_of_every_family() -> None:
+def test_schedules_of_many_seeds_contain_faults_of_every_family() -> None:
     drawn = Counter(
         f"{step['do']} {step.get('call', step.get('how', step.get('trouble', '')))}"
         for seed in range(300)
@@ -57,7 +57,7 @@
     return asyncio.run(shrink.shrink(schedule(seed, 20.0), broken))
 
 
-def test_a_schedule_is_made_smaller_to_the_two_faults_that_it_takes() -> None:
+def test_shrink_reduces_a_schedule_to_the_two_faults_that_break_the_rule() -> None:
     whole = schedule(3, 20.0)
     wanted = [whole.steps[3], whole.steps[-2]]
     found = shrunk(lambda one: all(step in one.steps for step in wanted))
@@ -66,15 +66,15 @@
     assert plan.decode(found.schedule.text().encode()).length <= 20.0
 
 
-def test_one_that_breaks_only_now_and_then_still_gets_smaller_and_never_without_end() -> None:
+def test_shrink_reduces_a_schedule_that_breaks_only_sometimes_and_terminates() -> None:
     plays = 0
 
-    def every_second(one: Schedule) -> bool:
+    def every_second_play(one: Schedule) -> bool:
         nonlocal plays
         plays += 1
         return plays % 2 == 0 and len(one.steps) > 0
 
-    assert len(shrunk(every_second).schedule.steps) < len(schedule(3, 20.0).steps)
+    assert len(shrunk(every_second_play).schedule.steps) < len(schedule(3, 20.0).steps)
     assert shrunk(lambda one: False).schedule.steps == schedule(3, 20.0).steps
 
 
@@ -87,8 +87,8 @@
     return msgspec.structs.replace(base, **changes)
 
 
-def test_what_the_runs_found_is_added_up_and_a_rule_that_excuses_too_much_is_named() -> None:
-    finding = Finding("lost", "sidecar-1", 2.0, "c1-1 to sidecar-1: nobody knows its end")
+def test_campaign_sums_up_valid_runs_and_reports_rules_excused_too_often() -> None:
+    finding = Finding("lost", "sidecar-1", 2.0, "c1-1 to sidecar-1: its end was not recorded")
     rows = [
         Row(1, "", "", True, result(1)),
         Row(2, "", "", True, result(2, findings=[finding, finding])),
@@ -105,7 +105,7 @@
     ]
 
 
-def test_a_crash_of_the_testbed_is_no_find_and_counts_by_its_reason() -> None:
+def test_campaign_crash_of_the_testbed_is_counted_but_is_not_a_find() -> None:
     crash = Failed(Job("p", "s", 4), 1, "msgspec.DecodeError: Input data was truncated", crashed=True)
     dead = Failed(Job("p", "s", 5), 5, "sidecar-1 ended with code 1")
     assert [(find.seed, find.rule) for find in campaign.finds([], [crash, dead])] == [
@@ -115,7 +115,7 @@
     assert added.not_played == {campaign.CRASHED: 2, campaign.ENDED_EARLY: 1}
 
 
-def test_the_error_of_a_crash_is_named_also_within_a_group_of_errors() -> None:
+def test_sweep_error_of_a_crash_is_extracted_from_an_exception_group() -> None:
     def fails() -> None:
         raise ExceptionGroup("of tasks", [msgspec.DecodeError("Input data was truncated")])
 
@@ -129,26 +129,27 @@
     assert sweep.error_of("") == "it said nothing"
 
 
-def test_the_planted_faults_still_fit_the_program() -> None:
-    """Each undoes a mend by a patch; one whose place is gone would plant nothing."""
-    words = "from tests.planted_hunt import FAULTS; [plant() for plant, _ in FAULTS.values()]"
+def test_planted_faults_apply_to_the_program_and_schedules_trigger_them() -> None:
+    """Each fault is a patch that undoes a fix; it fails to apply if the patched name no longer exists."""
+    script = "from tests.planted_hunt import FAULTS; [plant() for plant, _ in FAULTS.values()]"
     assert len(FAULTS) >= 12 and FAULTS.keys() == TRIGGERS.keys()
     drawn = {kind(step) for seed in range(300) for step in schedule(seed, 20.0).steps}
     assert all(triggers <= drawn for triggers in TRIGGERS.values())
-    subprocess.run((sys.executable, "-c", words), cwd=ROOT, check=True)
+    subprocess.run((sys.executable, "-c", script), cwd=ROOT, check=True)
 
 
 @pytest.mark.skipif(
     syscalls.compiler() is None, reason="failing system calls need a C compiler, and this machine has none"
 )
-def test_a_short_hunt_plays_its_faults_and_judges_every_request() -> None:
-    """What is asserted hangs on no timing: what was played and judged, and rules that no delay breaks."""
+def test_short_hunt_injects_its_faults_and_checks_every_request() -> None:
+    """Asserts only what does not depend on timing: the faults, the number of cases, and rules that no delay
+    breaks."""
     drawn = schedule(11, 8.0)
     small = msgspec.structs.replace(drawn, fleet={**drawn.fleet, "sidecars": 4, "engines": 6})
     play = Play(plan.decode(small.text().encode()), 11)
-    told = uvloop.run(play.run())
-    assert Counter(told.faults) == Counter(steps(small))
-    asked = sum(one.asked for one in told.summary.classes.values())
-    assert asked > 100 and told.judged["lost"] + told.excused.get("lost", 0) >= asked
+    played = uvloop.run(play.run())
+    assert Counter(played.faults) == Counter(steps(small))
+    asked = sum(one.asked for one in played.summary.classes.values())
+    assert asked > 100 and played.judged["lost"] + played.excused.get("lost", 0) >= asked
     unsafe = {"answered twice", "run twice", "broken by its own word"}
-    assert not [finding for finding in told.findings if finding.rule in unsafe]
+    assert not [finding for finding in played.findings if finding.rule in unsafe]
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""Runs kept, gone on with, compared, interrupted; and what cannot go on says so in a line."""
+"""Runs: stored, resumed, compared and interrupted; failures are reported in one line."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 """
 
 
-def test_a_smoke_of_most_faults_breaks_no_promise_and_makes_a_page(tmp_path: Path) -> None:
+def test_smoke_run_with_most_faults_breaks_no_rule_and_renders_a_report(tmp_path: Path) -> None:
     play = Play(plan.decode(SMOKE.encode()), seed=1)
     result = uvloop.run(play.run())
     assert result.findings == [] and result.summary.outcomes["served"] > 100
@@ -66,7 +66,7 @@
     )  # fmt: skip
 
 
-def test_a_sweep_goes_on_where_it_was_and_a_full_store_loses_nothing(
+def test_sweep_resumes_with_missing_seeds_and_a_full_store_keeps_its_runs(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sprucenotch.rig.revision.name", lambda revision: "r")
@@ -85,7 +85,7 @@
         Store(tmp_path / "none")
 
 
-def test_a_difference_is_shown_where_there_is_one_and_not_where_chance_makes_it() -> None:
+def test_compare_shows_a_real_difference_and_not_noise() -> None:
     def rows(worths: list[float]) -> dict[int, Row]:
         return {seed: Row(seed, "", "", True, result(seed, worth)) for seed, worth in enumerate(worths)}
 
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(("grows", "found"), [(0.0, set()), (0.5, {"memory grow"})])
-def test_a_soak_finds_memory_that_grows_in_the_second_half(grows: float, found: set[str]) -> None:
+def test_soak_reports_memory_that_grows_in_the_second_half(grows: float, found: set[str]) -> None:
     seconds = []
     for n in range(1, 101):
         memory = 30e6 + grows * 1e5 * max(0, n - 50)
@@ -110,39 +110,39 @@
 
 
 @pytest.mark.parametrize(
-    ("ends", "kind", "said"),
+    ("exit_argument", "error", "message"),
     [
         ("'no such thing'", ProcessError, r"sidecar-0: .* code 1: no such thing"),
         ("3", AddressError, "sidecar-0: "),
     ],
 )
-def test_a_sidecar_that_ends_instead_of_serving_ends_the_run_with_its_words(
-    ends: str, kind: type[RigError], said: str
+def test_run_with_a_sidecar_that_exits_at_start_raises_its_error(
+    exit_argument: str, error: type[RigError], message: str
 ) -> None:
-    programs = {"sidecar-0": Program((sys.executable, "-c", f"raise SystemExit({ends})"))}
-    with pytest.raises(kind, match=said):
+    programs = {"sidecar-0": Program((sys.executable, "-c", f"raise SystemExit({exit_argument})"))}
+    with pytest.raises(error, match=message):
         uvloop.run(Play(plan.decode(SMOKE.encode()), 1, programs=programs).run())
 
 
-def test_an_interrupted_run_keeps_what_it_has_and_leaves_no_process(tmp_path: Path) -> None:
+def test_interrupted_run_is_stored_and_leaves_no_process(tmp_path: Path) -> None:
     store = tmp_path / "runs"
-    words = ("rig", "run", "paused-process", "--store", str(store))
+    arguments = ("rig", "run", "paused-process", "--store", str(store))
     with subprocess.Popen(
-        (sys.executable, "-m", "sprucenotch", *words), cwd=ROOT, stdout=subprocess.PIPE, text=True
+        (sys.executable, "-m", "sprucenotch", *arguments), cwd=ROOT, stdout=subprocess.PIPE, text=True
     ) as running:
         assert running.stdout is not None
-        running.stdout.readline()  # its first second is over
+        running.stdout.readline()  # printed after the first second
         children = Path(f"/proc/{running.pid}/task/{running.pid}/children").read_text().split()
         running.send_signal(signal.SIGINT)
-        said = running.stdout.read()
-    assert running.returncode == 130 and "interrupted" in said
+        output = running.stdout.read()
+    assert running.returncode == 130 and "interrupted" in output
     assert len(children) >= 4 and not any(Path(f"/proc/{child}").exists() for child in children)
-    with Store(store) as kept:
-        [row] = kept.rows()
+    with Store(store) as reopened:
+        [row] = reopened.rows()
     assert row.result.interrupted and not row.counts
 
 
-def test_every_shipped_scenario_can_be_played() -> None:
+def test_shipped_scenarios_all_load() -> None:
     shipped = sorted(SCENARIOS.glob("*.toml"))
     assert len(shipped) >= 10
     assert all(load(path.stem).length > 0 for path in shipped)
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -1,4 +1,4 @@
-"""Clocks and disks that tests can break: the model of a disk against a real one, what a power cut leaves."""
+"""Replaceable clocks and disks: the disk model against a real disk, the effects of a power cut."""
 
 from __future__ import annotations
 
@@ -30,32 +30,32 @@
 
 
 def carry_out(disk: Disk, steps: list[tuple[str, str, Any]]) -> list[object]:
-    """What each step said, and all files at the end."""
-    said: list[object] = []
-    for do, name, told in steps:
+    """The outcome of each step, and all files at the end."""
+    outcomes: list[object] = []
+    for do, name, argument in steps:
         try:
             if do == "rename":
-                disk.rename(name, told)
+                disk.rename(name, argument)
             elif do == "remove":
                 disk.remove(name)
             else:
                 file = disk.open(name, anew=do == "anew")
                 if do == "truncate":
-                    file.truncate(told)
+                    file.truncate(argument)
                 elif do == "sync":
                     file.sync()
                 else:
-                    file.write(told)
+                    file.write(argument)
                 file.close()
-            said.append("done")
+            outcomes.append("done")
         except OSError as problem:
-            said.append(problem.errno)
-    return [*said, {name: disk.read(name) for name in disk.names()}]
+            outcomes.append(problem.errno)
+    return [*outcomes, {name: disk.read(name) for name in disk.names()}]
 
 
-@settings(deadline=None, max_examples=50)  # a real disk takes the time it takes
+@settings(deadline=None, max_examples=50)  # no deadline: the time of a real disk varies
 @given(STEPS)
-def test_the_model_and_what_a_record_replays_do_what_a_real_disk_does(
+def test_disk_model_and_replayed_record_match_a_real_disk(
     steps: list[tuple[str, str, Any]],
 ) -> None:
     with TemporaryDirectory() as folder, TemporaryDirectory() as beside:
@@ -67,7 +67,7 @@
 
 
 @given(STEPS, st.integers(0, 2**32))
-def test_what_was_made_durable_survives_a_power_cut(steps: list[tuple[str, str, Any]], seed: int) -> None:
+def test_volume_synced_files_survive_a_power_cut(steps: list[tuple[str, str, Any]], seed: int) -> None:
     volume = Volume()
     carry_out(volume, steps)
     for name in volume.names():
@@ -85,7 +85,7 @@
 
 
 def replace(volume: Volume, data: bytes, leave_out: str) -> None:
-    """Put a file in the place of another, with one of the precautions forgotten."""
+    """Replace a file by another, leaving out one of the required steps."""
     file = volume.open("new", anew=True)
     file.write(data)
     if leave_out != "sync":
@@ -102,26 +102,26 @@
 
 
 @pytest.mark.parametrize("leave_out", ["nothing", "sync", "sync names", "rename"])
-def test_a_power_cut_finds_the_precaution_that_was_forgotten(leave_out: str) -> None:
+def test_volume_power_cut_reveals_the_step_left_out_of_a_replacement(leave_out: str) -> None:
     old, new = b"o" * 2000, b"n" * 2000
     outcomes = set()
     for seed in range(60):
         volume = Volume()
         replace(volume, old, "nothing")
         replace(volume, new, leave_out)
-        if leave_out == "rename":  # power goes before the last sync
+        if leave_out == "rename":  # power is lost before the last sync
             volume.open("held", anew=True).write(new)
         volume.crash(seed)
         outcomes.add(volume.read("held"))
     if leave_out == "nothing":
         assert outcomes == {new}
-    elif leave_out == "sync names":  # the reply was that it is kept, and it is not
+    elif leave_out == "sync names":  # acknowledged as durable, but may be lost
         assert outcomes == {old, new}
     else:
         assert outcomes - {old, new}
 
 
-def test_a_full_disk_takes_a_part_and_a_failed_sync_leaves_its_writes_in_doubt_for_good() -> None:
+def test_volume_full_disk_writes_a_part_and_a_later_sync_does_not_repair_a_failed_one() -> None:
     found = set()
     for seed in range(40):
         volume = Volume()
@@ -135,16 +135,16 @@
         with pytest.raises(OSError, match="Input/output"):
             file.sync()
         volume.failing = set()
-        file.sync()  # says that all is well, and has written nothing
+        file.sync()  # succeeds, but does not write the data of the failed sync
         volume.crash(seed)
         found.add(len(volume.read("a").strip(b"\0")))
     assert found > {0}
 
 
-def test_a_wrong_clock_is_off_by_what_it_was_told_and_drifts() -> None:
+def test_wrong_clock_has_the_configured_offset_and_drift() -> None:
     times = [1000]
-    right = clock.Clock(lambda: times[0] + 70, lambda: times[0])
+    correct = clock.Clock(lambda: times[0] + 70, lambda: times[0])
     fast = clock.wrong(500, 100_000.0, lambda: times[0] + 70, lambda: times[0])
-    assert (right.now(), fast.now()) == (1070, 1570)
+    assert (correct.now(), fast.now()) == (1070, 1570)
     times[0] = 2000
-    assert (right.now(), fast.now()) == (2070, 2670)
+    assert (correct.now(), fast.now()) == (2070, 2670)
