--- a/sprucenotch/rig/plan.py
+++ b/sprucenotch/rig/plan.py
@@ -67,9 +67,7 @@
     )
     peers: bool = False  # sidecars may send each other datagrams
     revision: str = ""  # of the program; empty for the working tree
-    engines_apart: bool = (
-        False  # run each in its own process; implied by a fault that targets engine processes
-    )
+    engines_apart: bool = False  # each in its own process; implied by faults that act on engine processes
     discovery_apart: bool = False
     # debug: sidecars log each attempt, and it is matched with what engines received
     log: Annotated[Literal["info", "debug"], Meta(description="info or debug")] = "info"
@@ -115,9 +113,7 @@
     every: Time  # mean time between two faults
     shortest: Time = SECOND // 2
     longest: Time = 3 * SECOND
-    at_once: Annotated[int, Meta(ge=1, le=20, description="1 to 20")] = (
-        2  # maximum number of overlapping faults
-    )
+    at_once: Annotated[int, Meta(ge=1, le=20, description="1 to 20")] = 2  # maximum that overlap
     fault: Annotated[
         tuple[dict[str, Any], ...], Meta(min_length=1, description="a list of at least one fault")
     ] = ()
@@ -216,7 +212,7 @@
             wanted = (
                 "is not allowed: this fault ends by itself"
                 if ends_itself
-                else "is missing, where a time is needed"
+                else "is missing: a duration is required"
             )
             found.append(Problem(f"{path}.lasts", wanted))
     if fault is None or len(found) > before:
--- a/sprucenotch/rig/play.py
+++ b/sprucenotch/rig/play.py
@@ -39,8 +39,8 @@
 
     at: float  # seconds since the first request
     ended: Counter[tuple[str, str]]  # by class and outcome, as the clients saw it
-    served: Mapping[str, int]  # requests, by engine name without its suffix
-    held: Mapping[str, int]  # requests in an engine, likewise
+    served: Mapping[str, int]  # requests, by engine
+    held: Mapping[str, int]  # requests in progress, by engine
     cpu: Mapping[str, float]  # share of a core, by sidecar
     gauges: Mapping[str, Mapping[str, float]]  # by sidecar
 
--- a/sprucenotch/rig/truth/checks.py
+++ b/sprucenotch/rig/truth/checks.py
@@ -165,9 +165,8 @@
                 if not all(_health(changes[attempt.engine], version) != "up" for version in versions):
                     continue
                 begin = attempt.at - 2 * grace - (0.0 if known == sent_version else push_delay or 0.0)
-                place = attempt.engine.partition(".")[
-                    0
-                ]  # without the suffix of an engine that replaced another
+                # Without the suffix of an engine that replaced another.
+                place = attempt.engine.partition(".")[0]
                 names = (sent.sidecar, f"{sent.sidecar}>discovery", f"{sent.sidecar}>{place}", "discovery")
                 started = ledger.has_process_event(sent.sidecar, "started", begin, attempt.at)
                 if started or ledger.disturbed(begin, attempt.at, *names):
