--- a/sprucenotch/rig/client.py
+++ b/sprucenotch/rig/client.py
@@ -1,9 +1,8 @@
-"""Clients: requests over connections that are kept alive, one at a time on each, and all that becomes of
-them.
+"""HTTP clients with keep-alive connections, one request at a time on each, that record every outcome.
 
-As the protocol has it: a request on a kept connection that ends before any byte of the answer may have
-crossed its close, and goes out once more on a new one. A client listens a little beyond its deadline, so
-that a late answer shows as late and not as none.
+A request on a reused connection that closes before any byte of the answer may have crossed the server's
+close, so it is sent once more on a new connection. A client waits a little beyond its deadline, so that a
+late answer is recorded as late and not as missing.
 """
 
 from __future__ import annotations
@@ -20,26 +19,28 @@
 from sprucenotch.node.config import address
 from sprucenotch.rig.truth import history
 
-LISTEN_ON = 0.5  # seconds after its deadline
+LISTEN_ON = 0.5  # seconds that a client waits beyond its deadline
 BODY = b"{}"
 
 
 class Kind(NamedTuple):
-    """A class of requests as its clients send it."""
+    """A request class, as its clients send it."""
 
     name: str
     keyed: bool
     deadline: float  # seconds
-    aim: float  # seconds within which an answer has its full worth
+    aim: float  # seconds within which an answer has its full value
     worth: float = 1.0
-    unsafe: bool = False  # a repeat does harm: sent as POST, with no key
+    unsafe: bool = False  # must not be repeated: sent as POST without a key
 
 
 class Ended(NamedTuple):
+    """The result of one request."""
+
     kind: Kind
-    status: int  # 0: the connection broke, or nothing came
+    status: int  # 0: the connection broke, or there was no answer
     took: float  # seconds
-    retry_after: float | None = None  # seconds, where the answer tells it
+    retry_after: float | None = None  # seconds, if the answer has the header
 
     @property
     def outcome(self) -> str:
@@ -52,6 +53,8 @@
 
 
 class Reply(NamedTuple):
+    """What came back on a connection, and how the exchange ended."""
+
     how: How
     status: int = 0
     body: bytes = b""
@@ -60,16 +63,16 @@
 
 class _Connection(asyncio.Protocol):
     def __init__(self, life: int, surplus: Callable[[str, bytes], None]) -> None:
-        self.life = life  # which process listened when it came up
+        self.life = life  # index of the sidecar process that listened when it was opened
         self.used = False
-        self.last = ""  # the id of the last request
+        self.last = ""  # id of the last request
         self.transport: asyncio.Transport | None = None
         self._surplus = surplus
         self._waiting: asyncio.Future[Reply] | None = None
-        self.began = False  # whether any byte of the answer has come
-        self._anew()
+        self.began = False  # whether any byte of the answer has arrived
+        self._reset_parser()
 
-    def _anew(self) -> None:
+    def _reset_parser(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._body = b""
         self._retry_after: float | None = None
@@ -83,7 +86,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self._waiting is None:
-            self._too_much(data)
+            self._report_surplus(data)
             return
         self.began = True
         try:
@@ -100,11 +103,11 @@
 
     def on_message_complete(self) -> None:
         status, keep = self._parser.get_status_code(), self._parser.should_keep_alive()
-        if self._waiting is None:  # a second answer in one piece with the first
-            self._too_much(b"%d %s" % (status, self._body))
+        if self._waiting is None:  # a second answer in the same segment as the first
+            self._report_surplus(b"%d %s" % (status, self._body))
             return
         reply = Reply("whole", status, self._body, self._retry_after)
-        self._anew()
+        self._reset_parser()
         if not keep:
             self.close()
         self._finish(reply)
@@ -123,7 +126,7 @@
             self.transport.abort()
             self.transport = None
 
-    def _too_much(self, data: bytes) -> None:
+    def _report_surplus(self, data: bytes) -> None:
         self._surplus(self.last, data)
         self.close()
 
@@ -134,17 +137,17 @@
 
 
 class Ask(NamedTuple):
-    """What a client wants, which may take it several requests."""
+    """One logical call of a client, which may take several requests."""
 
     kind: Kind
     owner: str = ""
-    call: str = ""  # a name of its own, and the key of a keyed one
-    due: float = 0.0  # the monotonic clock
-    repeat: int = 0  # how often it was asked for before
+    call: str = ""  # unique name, and the idempotency key of a keyed call
+    due: float = 0.0  # when it was to be sent, on the monotonic clock
+    repeat: int = 0  # number of earlier requests for the same call
 
 
 class Clients:
-    """Sends to one address. `report` hears of each request as it ends, `witness` of everything."""
+    """Sends requests to one address. `report` is called with each result, `witness` with every event."""
 
     def __init__(
         self,
@@ -155,7 +158,7 @@
         witness: Callable[[history.Event], None] = lambda event: None,
         origin: float = 0.0,
         life: Callable[[], int] = lambda: 0,
-        churn: float = 0.0,  # share of answers after which a connection is closed and not kept
+        churn: float = 0.0,  # share of answers after which a connection is closed and not reused
     ) -> None:
         self._address = address(dial)
         self._report, self._name, self.sidecar = report, name, sidecar or name
@@ -163,13 +166,13 @@
         self._idle: deque[_Connection] = deque()
         self._number = 0
         self._churn, self._random = churn, random.Random(f"churn {name}").random
-        self._under_way: set[asyncio.Task[Ended]] = set()
+        self._in_flight: set[asyncio.Task[Ended]] = set()
 
     def send(self, ask: Ask) -> asyncio.Task[Ended]:
-        """Begin a request; it ends soon after its deadline at the latest."""
+        """Start a request; it ends at most LISTEN_ON after its deadline."""
         task = asyncio.get_running_loop().create_task(self.ask(ask))
-        self._under_way.add(task)
-        task.add_done_callback(self._under_way.discard)
+        self._in_flight.add(task)
+        task.add_done_callback(self._in_flight.discard)
         return task
 
     def _now(self) -> float:
@@ -190,8 +193,8 @@
         return ended
 
     async def _exchange(self, ask: Ask, id: str) -> Reply:
-        raw, loop = self._raw(ask, id), asyncio.get_running_loop()
-        connection = self._take()
+        raw, loop = self._encode(ask, id), asyncio.get_running_loop()
+        connection = self._take_idle()
         while True:
             if connection is None:
                 try:
@@ -199,16 +202,16 @@
                         lambda: _Connection(self._life(), self._surplus), *self._address
                     )
                 except OSError:
-                    self._tell_sent(ask, id, self._life(), True)
+                    self._record_sent(ask, id, self._life(), True)
                     return Reply("refused")
-            kept, connection.used = connection.used, True
-            self._tell_sent(ask, id, connection.life, not kept)
+            reused, connection.used = connection.used, True
+            self._record_sent(ask, id, connection.life, not reused)
             try:
                 reply = await connection.ask(id, raw)
             except asyncio.CancelledError:
                 connection.close()
                 raise
-            if reply.how == "broke" and kept and not connection.began:
+            if reply.how == "broke" and reused and not connection.began:
                 connection = None
                 continue
             if self._random() < self._churn:
@@ -217,7 +220,7 @@
                 self._idle.append(connection)
             return reply
 
-    def _tell_sent(self, ask: Ask, id: str, life: int, fresh: bool) -> None:
+    def _record_sent(self, ask: Ask, id: str, life: int, fresh: bool) -> None:
         at = self._now()
         self._witness(
             history.Sent(
@@ -231,14 +234,14 @@
         shown = data[:200].decode("latin-1")
         self._witness(history.Surplus(at=self._now(), sidecar=self.sidecar, id=id, data=shown))
 
-    def _take(self) -> _Connection | None:
+    def _take_idle(self) -> _Connection | None:
         while self._idle:
             connection = self._idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
                 return connection
         return None
 
-    def _raw(self, ask: Ask, id: str) -> bytes:
+    def _encode(self, ask: Ask, id: str) -> bytes:
         kind = ask.kind
         method = "POST" if kind.keyed or kind.unsafe else "GET"
         lines = [
@@ -255,9 +258,9 @@
         return "\r\n".join((*lines, "", "")).encode() + body
 
     async def finish(self) -> None:
-        """Wait for what is under way, which its deadlines bound, and close the connections."""
-        if self._under_way:
-            await asyncio.wait(self._under_way)
+        """Wait for the requests in flight, which their deadlines bound, and close the connections."""
+        if self._in_flight:
+            await asyncio.wait(self._in_flight)
         for connection in self._idle:
             connection.close()
         self._idle.clear()
--- a/sprucenotch/rig/discovery.py
+++ b/sprucenotch/rig/discovery.py
@@ -1,4 +1,4 @@
-"""The list of engines, whole or as a watch on changes, as the platform's discovery gives it."""
+"""A simulated discovery service: the list of engines, as a full list or as a long-polled watch on changes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 import msgspec
 
-from sprucenotch.rig.http import Answer, Call, Server, response
+from sprucenotch.rig.http import Request, Respond, Server, response
 from sprucenotch.rig.truth.history import Listed, Told
 
-HOLD_MOST = 60.0  # seconds that a watch may wait
-CHANGES_KEPT = 1000  # a watch from further back gets the whole list
+MAX_HOLD = 60.0  # seconds that a watch may wait
+MAX_CHANGES = 1000  # kept; a watch from an older version gets the full list
 
 
 class Entry(TypedDict):
-    """An engine in discovery's form."""
+    """An engine, in the format of the discovery service."""
 
     host: str
     dial: str
@@ -31,33 +31,33 @@
 
 
 class Discovery:
-    """One service, with a listener for each sidecar that has dials of its own for the engines."""
+    """One service with a listener for each sidecar, since the addresses of engines may differ by sidecar."""
 
     def __init__(
         self, witness: Callable[[Listed | Told], None] = lambda event: None, origin: float = 0.0
     ) -> None:
-        self._oldest: dict[str, Entry] = {}  # the list at the version `_first`
+        self._base: dict[str, Entry] = {}  # the list at the version `_base_version`
         self._changes: list[Entry] = []  # change number n made version n + 1
-        self._changed_at: list[float] = []  # and when
-        self._first = 0  # the version before the first change kept
-        self._replica: int | None = None  # the version of a replica that answers in its place
+        self._changed_at: list[float] = []  # when change n was made
+        self._base_version = 0  # the version before the oldest kept change
+        self._replica: int | None = None  # the version of the stale replica that answers, if any
         self._changed = asyncio.Event()
-        self._holding: set[asyncio.Task[None]] = set()
+        self._watches: set[asyncio.Task[None]] = set()
         self._witness, self._origin = witness, origin
-        self._late = 0.0  # seconds that an answer waits
-        self._dials: dict[str, dict[str, str]] = {}  # by sidecar, where these differ from the engine's own
-        self.server = Server(lambda call, answer: self._called("", call, answer))
-        self._faces: dict[str, Server] = {"": self.server}
+        self._delay = 0.0  # seconds by which answers are delayed
+        self._dials: dict[str, dict[str, str]] = {}  # by sidecar: engines that it reaches elsewhere
+        self.server = Server(lambda request, respond: self._handle("", request, respond))
+        self._listeners: dict[str, Server] = {"": self.server}
         self.up = False
 
     @property
     def version(self) -> int:
-        return self._first + len(self._changes)
+        return self._base_version + len(self._changes)
 
     @property
     def shown(self) -> int:
-        """The version by which calls are answered."""
-        return self.version if self._replica is None else max(self._replica, self._first)
+        """The version that calls are answered with."""
+        return self.version if self._replica is None else max(self._replica, self._base_version)
 
     def _now(self) -> float:
         return time.monotonic() - self._origin
@@ -65,54 +65,54 @@
     async def start(self) -> None:
         if self.up:
             return
-        for face in self._faces.values():
-            await face.start()
+        for listener in self._listeners.values():
+            await listener.start()
         self.up = True
 
     async def die(self) -> None:
-        """Watches end, calls are refused; what it knows stays."""
+        """Stop serving: watches end and calls are refused; the list is kept."""
         self.up = False
-        for task in self._holding:
+        for task in self._watches:
             task.cancel()
-        for face in self._faces.values():
-            face.stop()
+        for listener in self._listeners.values():
+            listener.stop()
 
     async def face(self, sidecar: str) -> str:
-        """A listener of that sidecar's own; its address."""
-        face = Server(lambda call, answer: self._called(sidecar, call, answer))
-        await face.start()
-        self._faces[sidecar] = face
-        return face.dial
+        """Open a listener for that sidecar and return its address."""
+        listener = Server(lambda request, respond: self._handle(sidecar, request, respond))
+        await listener.start()
+        self._listeners[sidecar] = listener
+        return listener.dial
 
     async def dials(self, sidecar: str, dials: dict[str, str]) -> None:
-        """Where that sidecar reaches engines, for those that it reaches over a link."""
+        """Set the addresses at which that sidecar reaches engines through relays."""
         self._dials.setdefault(sidecar, {}).update(dials)
 
     async def late(self, seconds: float) -> None:
-        """Answers wait so long from now on, as those of a service with too much to do."""
-        self._late = seconds
+        """Delay answers by so many seconds from now on, as an overloaded service does."""
+        self._delay = seconds
 
     async def behind(self, seconds: float) -> None:
-        """Fail over to a replica that stands where the service stood so long ago; with 0 it has caught up.
+        """Fail over to a replica whose list is so many seconds old; with 0 the replica has caught up.
 
-        Watches end at the failover, as its connections do.
+        The failover closes all connections, and with them the watches.
         """
         if not seconds:
             self._replica = None
             self._wake_watches()
             return
-        before = self._now() - seconds
-        self._replica = self._first + sum(at <= before for at in self._changed_at)
+        cutoff = self._now() - seconds
+        self._replica = self._base_version + sum(at <= cutoff for at in self._changed_at)
         await self.die()
         await self.start()
 
     async def tell(self, entry: Entry) -> None:
-        """A new entry, or one that changed; `removed` takes it off the list."""
+        """Add or update an entry; with health `removed`, delete it."""
         self._changes.append(entry)
         self._changed_at.append(self._now())
-        if len(self._changes) > CHANGES_KEPT:
-            self._first += 1
-            _apply(self._oldest, self._changes.pop(0))
+        if len(self._changes) > MAX_CHANGES:
+            self._base_version += 1
+            _apply(self._base, self._changes.pop(0))
             del self._changed_at[0]
         self._witness(
             Listed(at=self._now(), engine=entry["host"], health=entry["health"], version=self.version)
@@ -127,9 +127,9 @@
         return self._list(sidecar, True, self._hosts())
 
     def _hosts(self) -> list[Entry]:
-        """The entries of the version shown."""
-        hosts = dict(self._oldest)
-        for entry in self._changes[: self.shown - self._first]:
+        """The entries at the version that is shown."""
+        hosts = dict(self._base)
+        for entry in self._changes[: self.shown - self._base_version]:
             _apply(hosts, entry)
         return list(hosts.values())
 
@@ -139,29 +139,33 @@
         return {"seq": self.shown, "whole": whole, "hosts": shown}
 
     def _since(self, sidecar: str, version: int) -> dict[str, object]:
-        if not self._first <= version <= self.shown:
+        if not self._base_version <= version <= self.shown:
             return self._list(sidecar, True, self._hosts())
-        return self._list(sidecar, False, self._changes[version - self._first : self.shown - self._first])
+        return self._list(
+            sidecar, False, self._changes[version - self._base_version : self.shown - self._base_version]
+        )
 
-    def _called(self, sidecar: str, call: Call, answer: Answer) -> None:
-        asked = {key: values[-1] for key, values in parse_qs(call.query.decode("ascii", "replace")).items()}
-        if call.path != b"/discovery/hosts" or not all(value.isdecimal() for value in asked.values()):
-            answer(response(404 if call.path != b"/discovery/hosts" else 400))
+    def _handle(self, sidecar: str, request: Request, respond: Respond) -> None:
+        parameters = {
+            key: values[-1] for key, values in parse_qs(request.query.decode("ascii", "replace")).items()
+        }
+        if request.path != b"/discovery/hosts" or not all(value.isdecimal() for value in parameters.values()):
+            respond(response(404 if request.path != b"/discovery/hosts" else 400))
             return
-        hold = min(int(asked.get("hold_ms", 0)) / 1000, HOLD_MOST) if "from" in asked else 0.0
-        version = int(asked["from"]) if "from" in asked else -1
-        task = asyncio.get_running_loop().create_task(self._watch(sidecar, version, hold, answer))
-        self._holding.add(task)
-        task.add_done_callback(self._holding.discard)
+        hold = min(int(parameters.get("hold_ms", 0)) / 1000, MAX_HOLD) if "from" in parameters else 0.0
+        version = int(parameters["from"]) if "from" in parameters else -1
+        task = asyncio.get_running_loop().create_task(self._watch(sidecar, version, hold, respond))
+        self._watches.add(task)
+        task.add_done_callback(self._watches.discard)
 
-    async def _watch(self, sidecar: str, version: int, hold: float, answer: Answer) -> None:
+    async def _watch(self, sidecar: str, version: int, hold: float, respond: Respond) -> None:
         if version == self.shown:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._changed.wait(), hold)
-        if self._late:
-            await asyncio.sleep(self._late)
-        told = self._since(sidecar, version)
-        if answer(response(200, msgspec.json.encode(told))) is not False:
+        if self._delay:
+            await asyncio.sleep(self._delay)
+        update = self._since(sidecar, version)
+        if respond(response(200, msgspec.json.encode(update))) is not False:
             self._witness(Told(at=self._now(), sidecar=sidecar, version=self.shown))
 
 
--- a/sprucenotch/rig/engine.py
+++ b/sprucenotch/rig/engine.py
@@ -1,4 +1,4 @@
-"""A quote engine: slots that work, a queue before them, and the troubles that a day may bring."""
+"""A simulated quote engine: worker slots, a bounded queue, and faults that can be switched on."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from sprucenotch.rig.http import Answer, Call, Server, response
+from sprucenotch.rig.http import Request, Respond, Server, response
 from sprucenotch.rig.truth.history import Ran, Step
 
-SECOND_ANSWER = 0.003  # seconds after the first
+SECOND_ANSWER_DELAY = 0.003  # seconds
 DECLINED = response(503, b"", b"Srv-Declined: 1")
 
 
 class Work(NamedTuple):
-    """What a request of a class takes: seconds of a slot, lognormal with this coefficient of variation."""
+    """Service time of a request class: lognormal, mean in seconds, `spread` the coefficient of variation."""
 
     mean: float
     spread: float = 0.0
@@ -31,17 +31,18 @@
 
 
 class Cold(NamedTuple):
-    """How an engine begins: at a share of its speed, which grows evenly until it is warm."""
+    """Warm-up of an engine: it starts at `share` of its speed, which grows linearly for `seconds`."""
 
     share: float = 1.0
     seconds: float = 0.0
 
 
 class Engine:
-    """Serves `slots` requests at a time and holds `queue` more; what is beyond is declined unrun.
+    """Serves `slots` requests at a time and queues `queue` more; further ones are declined without running.
 
-    `slower` stretches the work to come, `failing` answers 500 after it, `draining` declines what is new, and
-    one that is `silent` takes everything in and says nothing until it is itself again.
+    Faults: `slower` multiplies the service time of new requests, `failing` answers 500 after the work,
+    `draining` declines new requests, `silent` accepts requests and never answers them, `twice` sends each
+    answer twice, `nonsense` sends an invalid answer, and `endless` leaves out the last byte.
     """
 
     def __init__(
@@ -52,15 +53,15 @@
         slots: int,
         queue: int,
         seed: int,
-        cold: Cold = Cold(),  # noqa: B008 - a value that nobody can change
+        cold: Cold = Cold(),  # noqa: B008 - immutable
         witness: Callable[[Ran], None] = lambda ran: None,
         origin: float = 0.0,
     ) -> None:
         self.name, self.zone = name, zone
-        self._work, self._slots, self._most, self._cold = work, slots, queue, cold
+        self._work, self._slots, self._max_queue, self._cold = work, slots, queue, cold
         self._rng = random.Random(seed)
-        self._waiting: deque[tuple[Call, Answer]] = deque()
-        self._running: dict[int, Call] = {}  # by number, for those that a death takes
+        self._waiting: deque[tuple[Request, Respond]] = deque()
+        self._running: dict[int, Request] = {}  # by sequence number
         self._number = 0
         self._witness, self._origin = witness, origin
         self.up = False
@@ -68,9 +69,9 @@
         self.failing = self.draining = self.silent = False
         self.twice = self.nonsense = self.endless = False
         self.served = self.declined = 0
-        self.life = 0  # work begun before a death ends nowhere
+        self.life = 0  # incremented by die(); work started in an earlier life is discarded
         self._warm_at = 0.0
-        self.server = Server(self._called)
+        self.server = Server(self._handle)
 
     @property
     def dial(self) -> str:
@@ -92,12 +93,12 @@
         self.up, self.draining = True, False
 
     async def die(self) -> None:
-        """What is under way is lost, with its connections."""
+        """Stop serving; requests in progress and their connections are lost."""
         if not self.up:
             return
         self.up = False
-        for call in (*self._running.values(), *(call for call, _ in self._waiting)):
-            self._tell(call, "lost")
+        for request in (*self._running.values(), *(request for request, _ in self._waiting)):
+            self._record(request, "lost")
         self.life += 1
         self._running.clear()
         self._waiting.clear()
@@ -113,7 +114,7 @@
         nonsense: bool | None = None,
         endless: bool | None = None,
     ) -> None:
-        """Bring a trouble or take it back; what is None stays as it is."""
+        """Switch faults on or off; None leaves a fault unchanged."""
         self.slower = self.slower if slower is None else slower
         self.failing = self.failing if failing is None else failing
         self.draining = self.draining if draining is None else draining
@@ -122,70 +123,78 @@
         self.nonsense = self.nonsense if nonsense is None else nonsense
         self.endless = self.endless if endless is None else endless
 
-    def _tell(self, call: Call, step: Step) -> None:
-        id, key = (call.headers.get(name, b"").decode() for name in (b"req-id", b"idempotency-key"))
+    def _record(self, request: Request, step: Step) -> None:
+        id, key = (request.headers.get(name, b"").decode() for name in (b"req-id", b"idempotency-key"))
         at = time.monotonic() - self._origin
-        told = call.headers.get(b"req-deadline", b"").decode() if step == "taken" else ""
+        deadline = request.headers.get(b"req-deadline", b"").decode() if step == "taken" else ""
         self._witness(
-            Ran(at=at, engine=self.name, life=self.life, id=id, key=key, step=step, deadline=float(told or 0))
+            Ran(
+                at=at,
+                engine=self.name,
+                life=self.life,
+                id=id,
+                key=key,
+                step=step,
+                deadline=float(deadline or 0),
+            )
         )
 
-    def _answer(self, raw: bytes, answer: Answer) -> None:
-        """Write a whole answer, or what the engine makes of it in its trouble."""
+    def _respond(self, raw: bytes, respond: Respond) -> None:
+        """Write an answer, altered by the faults that are on."""
         if self.nonsense:
-            answer(b"no answer" + raw)
+            respond(b"no answer" + raw)
         elif self.endless:
-            answer(raw[:-1])
+            respond(raw[:-1])
         else:
-            answer(raw)
+            respond(raw)
             if self.twice:
-                asyncio.get_running_loop().call_later(SECOND_ANSWER, answer, raw)
+                asyncio.get_running_loop().call_later(SECOND_ANSWER_DELAY, respond, raw)
 
-    def _called(self, call: Call, answer: Answer) -> None:
-        if call.path == b"/alive":
+    def _handle(self, request: Request, respond: Respond) -> None:
+        if request.path == b"/alive":
             if not self.silent:
-                answer(response(503 if self.draining else 200))
+                respond(response(503 if self.draining else 200))
             return
-        if call.headers.get(b"req-kind") not in self._work or not call.headers.get(b"req-id"):
-            answer(response(404))
+        if request.headers.get(b"req-kind") not in self._work or not request.headers.get(b"req-id"):
+            respond(response(404))
             return
-        self._tell(call, "taken")
+        self._record(request, "taken")
         if self.silent:
             return
-        if self.draining or (self.busy >= self._slots and len(self._waiting) >= self._most):
+        if self.draining or (self.busy >= self._slots and len(self._waiting) >= self._max_queue):
             self.declined += 1
-            self._tell(call, "declined")
-            answer(DECLINED)
+            self._record(request, "declined")
+            respond(DECLINED)
         elif self.busy < self._slots:
-            self._begin(call, answer)
+            self._begin(request, respond)
         else:
-            self._waiting.append((call, answer))
+            self._waiting.append((request, respond))
 
     @property
     def speed(self) -> float:
-        """What it does in a second, of what it does warm."""
-        left = self._warm_at - time.monotonic()
-        if left <= 0:
+        """The current speed relative to that of a warm engine."""
+        remaining = self._warm_at - time.monotonic()
+        if remaining <= 0:
             return 1.0
-        return 1.0 - (1.0 - self._cold.share) * left / self._cold.seconds
+        return 1.0 - (1.0 - self._cold.share) * remaining / self._cold.seconds
 
-    def _begin(self, call: Call, answer: Answer) -> None:
-        self._tell(call, "begun")
+    def _begin(self, request: Request, respond: Respond) -> None:
+        self._record(request, "begun")
         self._number += 1
-        self._running[self._number] = call
-        took = self._work[call.headers[b"req-kind"]].draw(self._rng) * self.slower / self.speed
-        asyncio.get_running_loop().call_later(took, self._done, self._number, answer, self.life)
+        self._running[self._number] = request
+        service_time = self._work[request.headers[b"req-kind"]].draw(self._rng) * self.slower / self.speed
+        asyncio.get_running_loop().call_later(service_time, self._done, self._number, respond, self.life)
 
-    def _done(self, number: int, answer: Answer, life: int) -> None:
+    def _done(self, number: int, respond: Respond, life: int) -> None:
         if life != self.life:
             return
-        call = self._running.pop(number)
+        request = self._running.pop(number)
         if self.failing:
-            self._tell(call, "error")
-            answer(response(500))
+            self._record(request, "error")
+            respond(response(500))
         else:
             self.served += 1
-            self._tell(call, "done")
-            self._answer(response(200, self.name.encode() + b" " + call.headers[b"req-id"]), answer)
+            self._record(request, "done")
+            self._respond(response(200, self.name.encode() + b" " + request.headers[b"req-id"]), respond)
         if self._waiting:
             self._begin(*self._waiting.popleft())
--- a/sprucenotch/rig/http.py
+++ b/sprucenotch/rig/http.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for the stand-ins: one request at a time on a connection."""
+"""A small HTTP/1.1 server for the fake servers: one request at a time on a connection."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
            503: b"Service Unavailable"}  # fmt: skip
 
 
-class Call(NamedTuple):
-    """A request that has come whole."""
+class Request(NamedTuple):
+    """A complete request."""
 
     method: bytes
     path: bytes  # without its query
@@ -24,8 +24,8 @@
     body: bytes
 
 
-Answer: TypeAlias = Callable[[bytes], bool | None]  # False: nobody is there to get it any more
-Handler: TypeAlias = Callable[[Call, Answer], None]
+Respond: TypeAlias = Callable[[bytes], bool | None]  # False: the connection is closed
+Handler: TypeAlias = Callable[[Request, Respond], None]
 
 
 def response(status: int, body: bytes = b"", *headers: bytes) -> bytes:
@@ -35,17 +35,17 @@
 
 class Connection(asyncio.Protocol):
     def __init__(self, handler: Handler, opened: Callable[[Connection, bool], None]) -> None:
-        self._handler, self._opened = handler, opened
+        self._handler, self._track = handler, opened
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._opened(self, True)
+        self._track(self, True)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._opened(self, False)
+        self._track(self, False)
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -81,28 +81,28 @@
 
     def on_message_complete(self) -> None:
         path, _, query = self._url.partition(b"?")
-        self._handler(Call(self._parser.get_method(), path, query, self._headers, self._body), self.answer)
+        self._handler(Request(self._parser.get_method(), path, query, self._headers, self._body), self.answer)
 
 
 class Server:
-    """Listens on a loopback port of the kernel's choosing; `stop` resets what is open, as a death does."""
+    """Listens on a free loopback port; `stop` aborts open connections, as the end of a process does."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
         self._connections: set[Connection] = set()
         self._server: asyncio.Server | None = None
-        self.dial = ""  # "127.0.0.1:PORT" once started, and kept from then on
+        self.dial = ""  # "127.0.0.1:PORT" once started; kept over restarts
 
     async def start(self) -> None:
-        """Listen; after a `stop` at the same address. Raises OSError if that was taken meanwhile."""
+        """Listen; after a `stop` on the same port. Raises OSError if that port is in use by now."""
         port = int(self.dial.rpartition(":")[2] or 0)
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Connection(self._handler, self._opened), HOST, port, backlog=BACKLOG
+            lambda: Connection(self._handler, self._track), HOST, port, backlog=BACKLOG
         )
         self.dial = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
-    def _opened(self, connection: Connection, on: bool) -> None:
-        (self._connections.add if on else self._connections.discard)(connection)
+    def _track(self, connection: Connection, is_open: bool) -> None:
+        (self._connections.add if is_open else self._connections.discard)(connection)
 
     def stop(self) -> None:
         if self._server is not None:
--- a/sprucenotch/rig/load.py
+++ b/sprucenotch/rig/load.py
@@ -1,4 +1,4 @@
-"""An open load by seed: arrivals that wait for nobody, and what clients do with a refusal."""
+"""An open-loop load, reproducible by seed: Poisson arrivals, and clients that retry refused requests."""
 
 from __future__ import annotations
 
@@ -12,18 +12,21 @@
 from sprucenotch.rig.client import Ask, Clients, Ended, Kind
 from sprucenotch.rig.plan import SECOND, Class, Plan
 
-OPEN_MOST = 2000  # requests under way, beyond which clients hold back: the rig stays bounded
+MAX_IN_FLIGHT = 2000  # calls; further arrivals are skipped, to bound the memory of the testbed
 
 
-def kind(one: Class) -> Kind:
+def kind(cls: Class) -> Kind:
+    """The request class of a plan, as clients send it."""
     return Kind(
-        one.name, one.effect == "dedup", one.deadline / SECOND, one.aim / SECOND, float(one.worth),
-        one.effect == "fragile",
+        cls.name, cls.effect == "dedup", cls.deadline / SECOND, cls.aim / SECOND, float(cls.worth),
+        cls.effect == "fragile",
     )  # fmt: skip
 
 
 class Arrival(NamedTuple):
-    after: float  # seconds since the one before
+    """One call of the load."""
+
+    after: float  # seconds since the previous arrival
     sidecar: str
     kind: Kind
     owner: str
@@ -31,8 +34,8 @@
 
 
 def arrivals(plan: Plan, seed: int, times: Callable[[], float]) -> Iterator[Arrival]:
-    """Without end: gaps of a Poisson process whose rate is the plan's, multiplied by `times` as it is when
-    each is drawn. Everything else follows from the seed alone."""
+    """An endless Poisson process with the plan's rate multiplied by `times`, which is evaluated at each draw.
+    Everything else follows from the seed alone."""
     rng = random.Random(f"load {seed}")
     sidecars = [f"sidecar-{n}" for n in range(plan.fleet.sidecars)]
     weights = [(n + 1) ** -float(plan.load.skew) for n in range(len(sidecars))]
@@ -46,7 +49,7 @@
 
 
 class Load:
-    """Sends what arrives to the clients of each sidecar."""
+    """Sends the arrivals to the clients of each sidecar."""
 
     def __init__(
         self,
@@ -60,11 +63,11 @@
         self._arrivals = arrivals(plan, seed, times)
         self._rng = random.Random(f"repeats {seed}")
         self._tasks: set[asyncio.Task[None]] = set()
-        self.late: list[float] = []  # seconds that each request left after its time
+        self.late: list[float] = []  # seconds by which each request was sent late
         self.held_back = 0
 
     async def run(self, until: float) -> None:
-        """Send until then, by the monotonic clock."""
+        """Send until that time on the monotonic clock."""
         due = time.monotonic()
         for arrival in self._arrivals:
             due += arrival.after
@@ -74,15 +77,15 @@
             if due > now:
                 await asyncio.sleep(due - now)
             self.late.append(max(0.0, time.monotonic() - due))
-            if len(self._tasks) >= OPEN_MOST:
+            if len(self._tasks) >= MAX_IN_FLIGHT:
                 self.held_back += 1
                 continue
-            task = asyncio.get_running_loop().create_task(self._want(arrival, due))
+            task = asyncio.get_running_loop().create_task(self._send(arrival, due))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _want(self, arrival: Arrival, due: float) -> None:
-        """One thing that a client wants, with its repeats."""
+    async def _send(self, arrival: Arrival, due: float) -> None:
+        """Send one call, with its repeats."""
         load, clients = self.plan.load, self._clients[arrival.sidecar]
         for repeat in range(1 + (load.repeats if load.repeat != "never" else 0)):
             ended = await clients.ask(Ask(arrival.kind, arrival.owner, arrival.call, due, repeat))
@@ -95,7 +98,7 @@
             due = time.monotonic()
 
     async def finish(self) -> None:
-        """Wait for what is under way, which deadlines and the number of repeats bound."""
+        """Wait for the calls in flight, which deadlines and the number of repeats bound."""
         if self._tasks:
             await asyncio.wait(self._tasks)
         for clients in self._clients.values():
--- a/sprucenotch/rig/net/__init__.py
+++ b/sprucenotch/rig/net/__init__.py
@@ -1,1 +1,1 @@
-"""The network between the processes of a run: relays whose links can be cut, slowed, reset and healed."""
+"""The simulated network between the processes of a run: relays whose links can be cut, slowed and reset."""
--- a/sprucenotch/rig/net/link.py
+++ b/sprucenotch/rig/net/link.py
@@ -1,4 +1,4 @@
-"""What a link does to what passes over it. Faults overlap freely; each is healed by its own number."""
+"""Network links with faults. Faults may overlap; each is added and removed by its number."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class LinkFault(Struct, frozen=True):
-    """One fault. `there` is the way of whoever connects, `back` that of the answers."""
+    """One fault. `there` is the direction from the side that connects, `back` the opposite one."""
 
     way: Literal["both", "there", "back"] = "both"
-    cut: bool = False  # nothing passes and nothing is heard of it; new connections never come up
-    half_open: bool = False  # new connections are accepted and stay silent
+    cut: bool = False  # nothing passes, and connection attempts get no reply
+    half_open: bool = False  # new connections are accepted but never forwarded
     delay: float = 0.0  # seconds
-    jitter: float = 0.0  # seconds, drawn evenly on top
-    rate: float = 0.0  # bytes a second; 0 for no bound
-    reset_after: int | None = None  # bytes that a connection passes until both ends see a reset
-    loss: float = 0.0  # share of the datagrams, as the two below
+    jitter: float = 0.0  # seconds: the upper end of a uniform extra delay
+    rate: float = 0.0  # bytes a second; 0 for no limit
+    reset_after: int | None = None  # bytes that a connection passes before it is reset
+    loss: float = 0.0  # share of the datagrams; so are the two below
     duplicate: float = 0.0
-    reorder: float = 0.0  # held for as long as `jitter` more, so that later ones overtake
+    reorder: float = 0.0  # delayed by `jitter` more, so that later ones overtake
 
 
-class Way(NamedTuple):
-    """All faults of one direction together."""
+class Conditions(NamedTuple):
+    """The combined faults of one direction."""
 
     cut: bool = False
     delay: float = 0.0
@@ -39,18 +39,18 @@
 
     @property
     def clear(self) -> bool:
-        return self == CLEAR
+        return self == NO_FAULT
 
 
-CLEAR = Way()
+NO_FAULT = Conditions()
 
 
-def together(faults: list[LinkFault]) -> Way:
-    """Cuts add up, delays too; of bounds the tightest holds, of shares the greatest."""
+def combine(faults: list[LinkFault]) -> Conditions:
+    """Delays add up; of limits the lowest applies, of shares the highest."""
     if not faults:
-        return CLEAR
+        return NO_FAULT
     limits = [f.reset_after for f in faults if f.reset_after is not None]
-    return Way(
+    return Conditions(
         cut=any(f.cut for f in faults),
         delay=sum(f.delay for f in faults),
         jitter=sum(f.jitter for f in faults),
@@ -63,11 +63,11 @@
 
 
 class Link:
-    """The way from one process to another. Whoever carries it hears of each change."""
+    """A connection path from one process to another. `changed` is called after each change of its faults."""
 
     def __init__(self, source: str, target: str) -> None:
         self.source, self.target = source, target
-        self.there = self.back = CLEAR
+        self.there = self.back = NO_FAULT
         self.half_open = False
         self._faults: dict[int, LinkFault] = {}
         self.changed: Callable[[], None] = lambda: None
@@ -78,24 +78,25 @@
 
     @property
     def cut(self) -> bool:
-        """Whether no connection comes up: that needs both ways."""
+        """Whether no connection can be established, which needs both directions."""
         return self.there.cut or self.back.cut
 
-    def way(self, direction: Direction) -> Way:
+    def conditions(self, direction: Direction) -> Conditions:
         return self.there if direction == "there" else self.back
 
     def harm(self, number: int, fault: LinkFault) -> None:
+        """Add a fault, or replace the one of that number."""
         self._faults[number] = fault
-        self._settle()
+        self._update()
 
     def heal(self, number: int) -> None:
-        """Take that fault back; the others stay. One that is not there is healed already."""
+        """Remove the fault of that number, if it is still active; others stay."""
         if self._faults.pop(number, None) is not None:
-            self._settle()
+            self._update()
 
-    def _settle(self) -> None:
+    def _update(self) -> None:
         faults = list(self._faults.values())
-        self.there = together([f for f in faults if f.way != "back"])
-        self.back = together([f for f in faults if f.way != "there"])
+        self.there = combine([f for f in faults if f.way != "back"])
+        self.back = combine([f for f in faults if f.way != "there"])
         self.half_open = any(f.half_open for f in faults)
         self.changed()
--- a/sprucenotch/rig/process.py
+++ b/sprucenotch/rig/process.py
@@ -1,4 +1,4 @@
-"""Processes of a run: started, watched, stopped for a while, slowed, and always ended."""
+"""Child processes of a run: started, monitored, paused, slowed down, and stopped."""
 
 from __future__ import annotations
 
@@ -20,33 +20,33 @@
 
 import msgspec
 
-READY_WITHIN = 15.0  # seconds: a start takes under one, and with no discovery three more
-END_WITHIN = 8.0  # after SIGTERM, before SIGKILL
-TAIL = 5  # lines of its log that a failure tells
+READY_TIMEOUT = 15.0  # seconds: a start takes under one, and without discovery three more
+TERM_TIMEOUT = 8.0  # seconds from SIGTERM to SIGKILL
+LOG_TAIL_LINES = 5  # of its log in an error message
 
 
-SLICE = 0.02  # seconds: a slowed process runs for a part of each
-DESCRIPTORS = 1024  # of a sidecar, as a deployment has it
-MEMORY_MOST = 2_000_000_000  # bytes of address space, so that one gone wild cannot take the machine with it
+SLICE = 0.02  # seconds: a slowed process runs for a share of each
+MAX_DESCRIPTORS = 1024  # of a sidecar, as in a deployment
+MAX_ADDRESS_SPACE = 2_000_000_000  # bytes, so that a faulty process cannot exhaust the machine's memory
 
 
 class RigError(Exception):
-    """The rig cannot go on; the text says why in one line."""
+    """The testbed cannot continue; the message gives the reason in one line."""
 
 
 class ProcessError(RigError):
-    """A process of the run ended, or did not get ready."""
+    """A process of the run ended unexpectedly or did not become ready."""
 
 
 def free_address() -> str:
-    """An address on loopback that is free at the moment."""
+    """Return a loopback address whose port is free at the moment."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 def call(address: str, path: str, timeout: float = 1.0) -> tuple[int, bytes]:
-    """One GET to a management listener: the status and the body. Raises OSError if it is not there."""
+    """Send a GET to a management listener; return status and body. Raises OSError if it does not answer."""
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout) as peer:
         peer.sendall(f"GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n".encode())
@@ -60,30 +60,31 @@
     return int(words[1]), body
 
 
-PR_SET_PDEATHSIG = 1  # as Linux numbers it
+PR_SET_PDEATHSIG = 1  # from linux/prctl.h
 _libc = ctypes.CDLL(None)
 
 
 def end_with_parent(descriptors: int | None) -> None:
-    """Have the kernel end this process when the rig is gone, however that ended, and bound its memory and its
-    descriptors; None for as many of these as the machine grants."""
-    _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)  # SIGTERM would wait for one that is stopped
-    resource.setrlimit(resource.RLIMIT_AS, (MEMORY_MOST, MEMORY_MOST))
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    # By itself a child would have what the rig has, which takes all.
+    """Have the kernel kill this process when the testbed ends, and limit its memory and its descriptors (to
+    the hard limit if None)."""
+    _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)  # a stopped process does not act on SIGTERM
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_ADDRESS_SPACE, MAX_ADDRESS_SPACE))
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    # A child would inherit the limit of the testbed, which raised it to the hard limit.
     resource.setrlimit(
-        resource.RLIMIT_NOFILE, (most if descriptors is None else min(descriptors, most), most)
+        resource.RLIMIT_NOFILE,
+        (hard_limit if descriptors is None else min(descriptors, hard_limit), hard_limit),
     )
 
 
 def allow_descriptors() -> None:
-    """Let the rig itself have as many as the machine grants: a relay needs four for each connection."""
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+    """Raise the testbed's own descriptor limit to the hard limit: a relay needs four for each connection."""
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
 
 
 class Child:
-    """A process of the rig, from its start to its end."""
+    """A child process of the testbed."""
 
     def __init__(
         self,
@@ -93,14 +94,14 @@
         stdin: int = subprocess.DEVNULL,
         stdout: IO[bytes] | int = subprocess.DEVNULL,
         stderr: IO[bytes] | int = subprocess.DEVNULL,
-        descriptors: int | None = DESCRIPTORS,
+        descriptors: int | None = MAX_DESCRIPTORS,
     ) -> None:
         self.process = subprocess.Popen(
             command, cwd=cwd, env=environment, stdin=stdin, stdout=stdout, stderr=stderr,
             preexec_fn=partial(end_with_parent, descriptors),
         )  # fmt: skip
-        self._slowing: asyncio.Task[None] | None = None
-        self._pauses = 0  # they may overlap
+        self._slowdown: asyncio.Task[None] | None = None
+        self._pauses = 0  # number of overlapping pauses
 
     @property
     def stopped(self) -> bool:
@@ -114,21 +115,21 @@
     def alive(self) -> bool:
         return self.process.poll() is None
 
-    async def gone(self, within: float | None = None) -> int:
-        """Wait for its end; its exit code. Raises TimeoutError."""
+    async def wait(self, timeout: float | None = None) -> int:
+        """Wait until it ends and return its exit code. Raises TimeoutError."""
         if self.process.poll() is None:
             loop, ended = asyncio.get_running_loop(), asyncio.Event()
             descriptor = os.pidfd_open(self.process.pid)  # readable once it has ended
             try:
                 loop.add_reader(descriptor, ended.set)
-                await asyncio.wait_for(ended.wait(), within)
+                await asyncio.wait_for(ended.wait(), timeout)
             finally:
                 loop.remove_reader(descriptor)
                 os.close(descriptor)
         return self.process.wait()
 
     def signal(self, number: signal.Signals) -> None:
-        """To this process, if it is still there."""
+        """Send a signal to this process, if it still runs."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
@@ -142,14 +143,14 @@
             self.signal(signal.SIGCONT)
 
     def slow(self, share: float) -> None:
-        """Let it run for that share of each slice of time, until `quicken`."""
+        """Let it run only for that share of each time slice, until `quicken`."""
         self.quicken()
-        self._slowing = asyncio.get_running_loop().create_task(self._slow(share))
+        self._slowdown = asyncio.get_running_loop().create_task(self._slow(share))
 
     def quicken(self) -> None:
-        if self._slowing is not None:
-            self._slowing.cancel()
-            self._slowing = None
+        if self._slowdown is not None:
+            self._slowdown.cancel()
+            self._slowdown = None
             if not self.stopped:
                 self.signal(signal.SIGCONT)
 
@@ -162,63 +163,63 @@
             await asyncio.sleep(SLICE * share)
 
     def cpu(self) -> int:
-        """Nanoseconds of processor time that its threads have used. Raises OSError once it has ended."""
+        """CPU time of its threads in nanoseconds. Raises OSError once it has ended."""
         tasks = Path(f"/proc/{self.pid}/task")
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks.iterdir())
 
     def memory(self) -> tuple[int, int]:
-        """Bytes resident now: all, and what no other process shares."""
+        """Resident memory in bytes: total, and not shared with other processes."""
         _, resident, shared, *_ = map(int, Path(f"/proc/{self.pid}/statm").read_text().split())
         page = os.sysconf("SC_PAGE_SIZE")
         return resident * page, (resident - shared) * page
 
     def end(self) -> None:
-        """SIGTERM, then SIGKILL; one that is stopped cannot act on the first."""
+        """Stop it with SIGTERM (after SIGCONT, as a stopped process cannot act on it), then with SIGKILL."""
         self.quicken()
         if not self.alive:
             return
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
-            self.process.wait(END_WITHIN)
+            self.process.wait(TERM_TIMEOUT)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
 
     def kill(self) -> None:
-        if self._slowing is not None:
-            self._slowing.cancel()
+        if self._slowdown is not None:
+            self._slowdown.cancel()
         self.process.kill()
         self.process.wait()
 
 
 class SidecarProcess(Child):
-    """`command` runs in `cwd` with PROXY_CONFIG naming a file of its own. Use it as a context manager;
-    without a `folder` of the caller's it has one for the time being."""
+    """Runs `command` in `cwd`, with PROXY_CONFIG naming a configuration file that is written first. Use it as
+    a context manager. Without a `folder` it uses a temporary one."""
 
     def __init__(
         self,
-        told: Mapping[str, Any],
+        configuration: Mapping[str, Any],
         command: Sequence[str] = (sys.executable, "-m", "sprucenotch"),
         cwd: Path | None = None,
         folder: Path | None = None,
         label: str = "sidecar",
-        more: Mapping[str, str] | None = None,  # of the environment
+        variables: Mapping[str, str] | None = None,  # additional environment variables
     ) -> None:
-        self._own = tempfile.TemporaryDirectory(prefix="sidecar-") if folder is None else None
-        where = Path(self._own.name) if self._own is not None else Path(folder or "")
-        self.file, self.log_file = where / f"{label}.json", where / f"{label}.log"
-        self.listen, self.mgmt = str(told["listen"]), str(told["mgmt"])
-        self.configure(told)
+        self._temporary = tempfile.TemporaryDirectory(prefix="sidecar-") if folder is None else None
+        directory = Path(self._temporary.name) if self._temporary is not None else Path(folder or "")
+        self.file, self.log_file = directory / f"{label}.json", directory / f"{label}.log"
+        self.listen, self.mgmt = str(configuration["listen"]), str(configuration["mgmt"])
+        self.configure(configuration)
         environment = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
         with self.log_file.open("wb") as log:
             super().__init__(
-                command, {**environment, "PROXY_CONFIG": str(self.file), **(more or {})}, cwd, stdout=log,
-                stderr=log,
+                command, {**environment, "PROXY_CONFIG": str(self.file), **(variables or {})}, cwd,
+                stdout=log, stderr=log,
             )  # fmt: skip
 
-    def configure(self, told: Mapping[str, Any]) -> None:
-        self.file.write_bytes(msgspec.json.encode(told))
+    def configure(self, configuration: Mapping[str, Any]) -> None:
+        self.file.write_bytes(msgspec.json.encode(configuration))
 
     def __enter__(self) -> SidecarProcess:
         return self
@@ -227,12 +228,12 @@
         self.end()
 
     async def ready(self) -> None:
-        """Wait until it serves. Raises ProcessError with what its log last said if it ends, or takes too
+        """Wait until it is ready. Raises ProcessError with the last lines of its log if it ends or takes too
         long."""
-        until = time.monotonic() + READY_WITHIN
-        while time.monotonic() < until:
+        deadline = time.monotonic() + READY_TIMEOUT
+        while time.monotonic() < deadline:
             if (code := self.process.poll()) is not None:
-                raise ProcessError(f"the sidecar ended with code {code}: {self.said()}")
+                raise ProcessError(f"the sidecar ended with code {code}: {self.log_tail()}")
             try:
                 status, _ = await asyncio.to_thread(call, self.mgmt, "/api/ready")
             except OSError:
@@ -240,13 +241,14 @@
             if status == 200:
                 return
             await asyncio.sleep(0.05)
-        raise ProcessError(f"the sidecar was not ready within {READY_WITHIN:.0f} s: {self.said()}")
+        raise ProcessError(f"the sidecar was not ready within {READY_TIMEOUT:.0f} s: {self.log_tail()}")
 
-    def said(self) -> str:
-        lines = self.log_file.read_text(errors="replace").splitlines()[-TAIL:]
+    def log_tail(self) -> str:
+        """The last lines of its log, in one line."""
+        lines = self.log_file.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:]
         return " / ".join(lines) or "its log is empty"
 
     def end(self) -> None:
         super().end()
-        if self._own is not None:
-            self._own.cleanup()
+        if self._temporary is not None:
+            self._temporary.cleanup()
--- a/sprucenotch/rig/remote.py
+++ b/sprucenotch/rig/remote.py
@@ -1,4 +1,4 @@
-"""The rig's side of stand-ins that are processes of their own: the same calls as of those in its own loop."""
+"""Proxies for engines and discovery in separate processes, with the same methods as the in-process ones."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from sprucenotch.rig.discovery import Entry
 from sprucenotch.rig.engine import Engine
 from sprucenotch.rig.process import Child, ProcessError
-from sprucenotch.rig.standin import LINE_MOST, Command, EngineSpec, Reply
+from sprucenotch.rig.standin import MAX_LINE, Command, EngineSpec, Reply
 from sprucenotch.rig.truth.history import Event, Ran
 
-ANSWER_WITHIN = 10.0  # seconds: a paused one answers when it runs again
+REPLY_TIMEOUT = 10.0  # seconds: a paused process replies when it is resumed
 
 
 class Remote:
-    """A stand-in process and the commands to it. What it sees goes to `witness`."""
+    """A fake server process and the commands to it. Its events go to `witness`."""
 
     def __init__(self, name: str, first: str, witness: Callable[[Any], None]) -> None:
         self.name, self._first, self._witness = name, first, witness
         self.child: Child | None = None
-        self._number = 0
+        self._last_number = 0
         self._replies: dict[int, asyncio.Future[Any]] = {}
         self._reader: asyncio.Task[None] | None = None
 
     async def spawn(self, first: str) -> None:
         self._first = first
         command = (sys.executable, "-m", "sprucenotch.rig.standin", first)
-        # Each sidecar holds connections to it, and discovery listens for each by itself.
+        # Every sidecar holds connections to it, and discovery has a listener for each sidecar.
         self.child = Child(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, descriptors=None)
-        stream = asyncio.StreamReader(limit=LINE_MOST)
+        stream = asyncio.StreamReader(limit=MAX_LINE)
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(stream), self.child.process.stdout)
         self._reader = loop.create_task(self._read(stream))
@@ -43,7 +43,7 @@
         while line := await stream.readline():
             if line.startswith(b'{"type"'):
                 self._witness(msgspec.json.decode(line, type=Event))
-            elif line.endswith(b"\n"):  # else it was killed while it wrote
+            elif line.endswith(b"\n"):  # otherwise it was killed while it wrote
                 reply = msgspec.json.decode(line, type=Reply)
                 waiting = self._replies.pop(reply.number, None)
                 if waiting is not None and not waiting.done():
@@ -57,20 +57,20 @@
         self._replies.clear()
 
     async def call(self, do: str, **args: Any) -> Any:
-        """Raises ProcessError where it ended, or does not answer."""
+        """Execute a command and return its result. Raises ProcessError if the process has ended or hangs."""
         if self.child is None or not self.child.alive or self.child.process.stdin is None:
-            raise ProcessError(f"{self.name} is not there")
-        self._number += 1
+            raise ProcessError(f"{self.name} is not running")
+        self._last_number += 1
         reply: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._replies[self._number] = reply
+        self._replies[self._last_number] = reply
         try:
-            self.child.process.stdin.write(msgspec.json.encode(Command(self._number, do, args)) + b"\n")
+            self.child.process.stdin.write(msgspec.json.encode(Command(self._last_number, do, args)) + b"\n")
             self.child.process.stdin.flush()
-            return await asyncio.wait_for(reply, ANSWER_WITHIN)
+            return await asyncio.wait_for(reply, REPLY_TIMEOUT)
         except BrokenPipeError:
             raise ProcessError(f"{self.name} ended") from None
         except TimeoutError:
-            raise ProcessError(f"{self.name} did not answer within {ANSWER_WITHIN:.0f} s") from None
+            raise ProcessError(f"{self.name} did not answer within {REPLY_TIMEOUT:.0f} s") from None
 
     async def kill(self) -> None:
         if self.child is not None:
@@ -78,39 +78,39 @@
             if self.child.process.stdin is not None:
                 self.child.process.stdin.close()
             if self._reader is not None:
-                await self._reader  # what it still wrote counts
+                await self._reader  # read what it had written before it was killed
             self.child = None
 
 
 class RemoteEngine:
-    """As `Engine`, in a process of its own. Its death is that process's."""
+    """An `Engine` in a separate process; `die` kills that process."""
 
     def __init__(self, spec: EngineSpec, witness: Callable[[Ran], None]) -> None:
         self.name, self.zone, self.dial, self.life = spec.name, spec.zone, "", 0
-        self._spec, self._tell = spec, witness
-        self.remote = Remote(spec.name, "", self._saw)
-        self._open: set[str] = set()
+        self._spec, self._witness = spec, witness
+        self.remote = Remote(spec.name, "", self._observe)
+        self._in_progress: set[str] = set()
         self.up = self.draining = self.failing = self.silent = False
         self.twice = self.nonsense = self.endless = False
         self.slower = 1.0
         self.served = self.declined = 0
 
-    def _saw(self, ran: Ran) -> None:
+    def _observe(self, ran: Ran) -> None:
         if ran.step == "begun":
-            self._open.add(ran.id)
+            self._in_progress.add(ran.id)
         elif ran.step != "taken":
-            self._open.discard(ran.id)
+            self._in_progress.discard(ran.id)
         self.served += ran.step == "done"
         self.declined += ran.step == "declined"
-        self._tell(ran)
+        self._witness(ran)
 
     @property
     def busy(self) -> int:
-        return len(self._open)
+        return len(self._in_progress)
 
     @property
     def held(self) -> int:
-        return len(self._open)
+        return len(self._in_progress)
 
     async def start(self, cold: bool = False) -> None:
         if self.up:
@@ -127,18 +127,18 @@
             self.up = False
             await self.remote.kill()
             self.life += 1
-            self._open.clear()
+            self._in_progress.clear()
 
-    async def tune(self, **troubles: Any) -> None:
-        for name, value in troubles.items():
+    async def tune(self, **changes: Any) -> None:
+        for name, value in changes.items():
             if value is not None:
                 setattr(self, name, value)
         if self.up:
-            await self.remote.call("tune", **troubles)
+            await self.remote.call("tune", **changes)
 
 
 class RemoteDiscovery:
-    """As `Discovery`, in a process of its own."""
+    """A `Discovery` in a separate process."""
 
     def __init__(self, witness: Callable[[Event], None], origin: float) -> None:
         self.remote = Remote("discovery", "", witness)
@@ -153,7 +153,7 @@
             self.up = True
 
     async def die(self) -> None:
-        """It goes down as a service does that loses its machine but not its state."""
+        """Stop serving; the process and its list stay."""
         if self.up:
             self.up = False
             await self.remote.call("die")
--- a/sprucenotch/rig/sidecar.py
+++ b/sprucenotch/rig/sidecar.py
@@ -1,5 +1,4 @@
-"""A sidecar of a run through its lives: several processes, one after the other, under one name and
-address."""
+"""A sidecar of a run: a sequence of processes (restarts and upgrades) under one name and address."""
 
 from __future__ import annotations
 
@@ -15,17 +14,17 @@
 from sprucenotch.rig.revision import Program
 from sprucenotch.rig.truth.history import Event, Process
 
-ADDRESS_TAKEN = 3  # the exit code of a sidecar that cannot listen
-KILL_AFTER = 0.7  # seconds after the longest deadline, which counts as 3 s at the least
+ADDRESS_IN_USE = 3  # exit code of a sidecar that cannot listen
+KILL_AFTER = 0.7  # seconds from the longest deadline (at least 3 s) to SIGKILL
 
 
 class AddressError(RigError):
-    """A port that was meant for a sidecar is taken."""
+    """A port reserved for a sidecar is in use."""
 
 
 class Reserved:
-    """A port of the kernel's choosing that stays this run's: bound, never listening, beside whoever uses
-    it."""
+    """A free port kept for this run by a socket that is bound (SO_REUSEPORT) but never listens, so that the
+    sidecar can listen on it."""
 
     def __init__(self) -> None:
         self._held = socket.socket()
@@ -38,32 +37,35 @@
         self._held.close()
 
 
-Told = Callable[["Sidecar", str], Awaitable[Mapping[str, Any]]]  # its configuration, by what it is to know
+# Builds the configuration of a sidecar for a start, given which server list it begins with.
+Configure = Callable[["Sidecar", str], Awaitable[Mapping[str, Any]]]
 
 
 class Sidecar:
-    """`told` makes what each start is configured with; `opens` hears when it takes clients and when not;
-    `starts` is held by whoever starts a process of the run."""
+    """`configure` builds the configuration of each start; `set_reachable` is called when it starts or stops
+    accepting clients; `start_lock` is held while a process of the run is started."""
 
     def __init__(
         self,
         name: str,
         folder: Path,
-        told: Told,
+        configure: Configure,
         now: Callable[[], float],
         witness: Callable[[Event], None],
-        opens: Callable[[bool], None],
-        longest: float,
-        starts: asyncio.Lock,
+        set_reachable: Callable[[bool], None],
+        longest_deadline: float,
+        start_lock: asyncio.Lock,
     ) -> None:
-        self.name, self._folder, self._told = name, folder, told
-        self._now, self._witness, self._opens, self._starts = now, witness, opens, starts
-        self._longest = max(3.0, longest) + KILL_AFTER
+        self.name, self._folder, self._configure = name, folder, configure
+        self._now, self._witness, self._set_reachable, self._start_lock = (
+            now, witness, set_reachable, start_lock,
+        )  # fmt: skip
+        self._kill_timeout = max(3.0, longest_deadline) + KILL_AFTER
         self._listen, self._mgmt = Reserved(), (Reserved(), Reserved())  # a successor has its own mgmt
         self.program = Program()
-        self.environment: Mapping[str, str] = {}  # of its processes, besides the rig's own
+        self.environment: Mapping[str, str] = {}  # added to that of the testbed
         self.lives: list[SidecarProcess] = []
-        self._down = True  # meant to be: an end of the process is no surprise
+        self._down = True  # intentionally stopped, so that the end of the process is expected
 
     @property
     def life(self) -> int:
@@ -89,73 +91,73 @@
     def alive(self) -> bool:
         return bool(self.lives) and self.process.alive
 
-    def _tell(self, what: str, life: int, code: int = 0, version: int = 0) -> None:
+    def _record(self, what: str, life: int, code: int = 0, version: int = 0) -> None:
         self._witness(
             Process(at=self._now(), name=self.name, what=what, life=life, code=code, version=version)  # type: ignore[arg-type]
         )
 
-    async def start(self, knowing: str = "last") -> None:
-        """Start it and wait until it serves. Raises ProcessError, or AddressError."""
-        told = await self._told(self, knowing)
-        known = told.get("known") or {}
-        async with self._starts:  # each keeps the loop for some 8 ms: the load has its turn in between
+    async def start(self, initial_list: str = "last") -> None:
+        """Start a process and wait until it is ready. Raises ProcessError or AddressError."""
+        configuration = await self._configure(self, initial_list)
+        known = configuration.get("known") or {}
+        async with self._start_lock:  # each start blocks the loop for about 8 ms; let the load run in between
             process = SidecarProcess(
-                told, self.program.command, self.program.cwd, self._folder,
+                configuration, self.program.command, self.program.cwd, self._folder,
                 f"{self.name}.{len(self.lives)}", self.environment,
             )  # fmt: skip
             await asyncio.sleep(0)
         self.lives.append(process)
         self._down = False
         life = self.life
-        self._tell("started", life, version=int(known.get("seq", 0)))
+        self._record("started", life, version=int(known.get("seq", 0)))
         try:
             await process.ready()
-        except ProcessError as problem:
-            if process.process.poll() == ADDRESS_TAKEN:
-                raise AddressError(f"{self.name}: {process.said()}") from None
-            raise ProcessError(f"{self.name}: {problem}") from None
-        self._tell("ready", life)
-        self._opens(True)
+        except ProcessError as error:
+            if process.process.poll() == ADDRESS_IN_USE:
+                raise AddressError(f"{self.name}: {process.log_tail()}") from None
+            raise ProcessError(f"{self.name}: {error}") from None
+        self._record("ready", life)
+        self._set_reachable(True)
 
     def kill(self) -> None:
         if self.alive:
-            self._tell("killed", self.life)
+            self._record("killed", self.life)
             self._down = True
-            self._opens(False)
+            self._set_reachable(False)
             self.process.kill()
 
     def lost_power(self) -> None:
-        """What its last process had not made durable is gone."""
-        self._tell("lost power", self.life)
+        """Record that whatever its last process had not synced is lost."""
+        self._record("lost power", self.life)
 
     async def term(self) -> None:
-        """A planned end: SIGTERM, and SIGKILL once the rules allow it."""
+        """Stop it with SIGTERM, and with SIGKILL after the timeout."""
         if self.alive:
             self._down = True
-            await self._retire(self.process, self.life, closes=True)
+            await self._retire(self.process, self.life, make_unreachable=True)
 
-    async def upgrade(self, knowing: str = "last") -> None:
-        """A successor beside it; once that serves, the old one is told to end."""
+    async def upgrade(self, initial_list: str = "last") -> None:
+        """Start a successor alongside; once it is ready, stop the old process."""
         old, life = self.process, self.life
-        await self.start(knowing)
-        await self._retire(old, life, closes=False)
+        await self.start(initial_list)
+        await self._retire(old, life, make_unreachable=False)
 
-    async def _retire(self, process: SidecarProcess, life: int, closes: bool) -> None:
-        self._tell("told to end", life)
+    async def _retire(self, process: SidecarProcess, life: int, make_unreachable: bool) -> None:
+        self._record("told to end", life)
         process.signal(signal.SIGTERM)
         try:
-            code = await process.gone(self._longest)
+            code = await process.wait(self._kill_timeout)
         except TimeoutError:
             process.kill()
             code = -int(signal.SIGKILL)
-        if closes:
-            self._opens(False)
-        self._tell("ended", life, code)
+        if make_unreachable:
+            self._set_reachable(False)
+        self._record("ended", life, code)
 
     def check(self) -> None:
-        """Raises ProcessError where its process ended and nobody ended it."""
+        """Raises ProcessError if its process ended unexpectedly."""
         if not self._down and (code := self.process.process.poll()) is not None:
-            raise ProcessError(f"{self.name} ended with code {code}: {self.process.said()}")
+            raise ProcessError(f"{self.name} ended with code {code}: {self.process.log_tail()}")
 
     def close(self) -> None:
         for process in self.lives:
@@ -170,11 +172,11 @@
 
 
 async def restart(
-    sidecar: Sidecar, how: How, down: float, knowing: str, lose: Callable[[], None] = lambda: None
+    sidecar: Sidecar, how: How, down: float, initial_list: str, lose: Callable[[], None] = lambda: None
 ) -> None:
-    """End a sidecar that way and start it anew. `lose` is what a power cut does to its disk."""
+    """Stop a sidecar in the given way and start it again. `lose` applies a power cut to its disk."""
     if how == "upgrade":
-        await sidecar.upgrade(knowing)
+        await sidecar.upgrade(initial_list)
         return
     if how == "term":
         await sidecar.term()
@@ -184,4 +186,4 @@
         lose()
         sidecar.lost_power()
     await asyncio.sleep(down)
-    await sidecar.start(knowing)
+    await sidecar.start(initial_list)
--- a/sprucenotch/rig/standin.py
+++ b/sprucenotch/rig/standin.py
@@ -1,7 +1,7 @@
-"""`python -m sprucenotch.rig.standin`: an engine or discovery as a process of its own.
+"""`python -m sprucenotch.rig.standin`: runs a simulated engine or discovery in a separate process.
 
-It reads commands on standard input, a JSON line each, and writes what it saw and its replies on standard
-output. It ends with its input. Both sides of this stand in `remote.py`.
+It reads commands from standard input, one JSON line each, and writes events and replies to standard output.
+It exits at the end of its input. The testbed's side of this protocol is `remote.py`.
 """
 
 from __future__ import annotations
@@ -20,10 +20,12 @@
 from sprucenotch.rig.engine import Cold, Engine, Work
 from sprucenotch.rig.truth.history import Event, Ran
 
-LINE_MOST = 1 << 24
+MAX_LINE = 1 << 24  # bytes
 
 
 class EngineSpec(Struct, frozen=True):
+    """The parameters of an engine."""
+
     name: str
     zone: str
     work: Mapping[str, Work]
@@ -32,58 +34,63 @@
     seed: int
     cold: Cold
     origin: float
-    dial: str = ""  # where it listened before
+    dial: str = ""  # its address before a restart
     life: int = 0
 
 
 class Command(Struct, frozen=True):
+    """A call of the method `do`."""
+
     number: int
     do: str
     args: Mapping[str, Any] = {}
 
 
 class Reply(Struct, frozen=True):
+    """The result of the command of that number, or its error."""
+
     number: int
     value: Any = None
     problem: str = ""
 
 
-def say(value: Event | Reply) -> None:
-    """Written at once, so that it is known even if this process is killed in the next moment."""
+def emit(value: Event | Reply) -> None:
+    """Write a line unbuffered, so that it is not lost if this process is killed right afterwards."""
     raw = msgspec.json.encode(value) + b"\n"
     while raw:
         raw = raw[os.write(1, raw) :]
 
 
 def engine(spec: EngineSpec, witness: Callable[[Ran], None]) -> Engine:
-    made = Engine(
+    """Create an engine from its parameters."""
+    created = Engine(
         spec.name, spec.zone, {name.encode(): work for name, work in spec.work.items()}, spec.slots,
         spec.queue, spec.seed, spec.cold, witness, spec.origin,
     )  # fmt: skip
-    made.server.dial, made.life = spec.dial, spec.life
-    return made
+    created.server.dial, created.life = spec.dial, spec.life
+    return created
 
 
 async def serve(first: str) -> None:
-    """Carry out one command after the other until there are no more."""
+    """Create what `first` names, then execute commands one after another until the end of the input."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LINE_MOST)
+    reader = asyncio.StreamReader(limit=MAX_LINE)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     kind, _, raw = first.partition(" ")
-    thing: Engine | Discovery
+    target: Engine | Discovery
     if kind == "engine":
-        thing = engine(msgspec.json.decode(raw, type=EngineSpec), say)
+        target = engine(msgspec.json.decode(raw, type=EngineSpec), emit)
     else:
-        thing = Discovery(say, float(raw))
+        target = Discovery(emit, float(raw))
     while line := await reader.readline():
         command = msgspec.json.decode(line, type=Command)
         try:
-            value = await getattr(thing, command.do)(**command.args)
+            value = await getattr(target, command.do)(**command.args)
             if command.do == "start":
-                value = thing.server.dial
-            say(Reply(command.number, value))
-        except OSError as problem:
-            say(Reply(command.number, problem=str(problem)))
+                value = target.server.dial
+            emit(Reply(command.number, value))
+        except OSError as error:
+            emit(Reply(command.number, problem=str(error)))
 
 
 if __name__ == "__main__":
--- a/sprucenotch/rig/state.py
+++ b/sprucenotch/rig/state.py
@@ -1,4 +1,4 @@
-"""What the sidecars of a run keep for their next processes: where, and what a power cut leaves of it."""
+"""The state folders of the sidecars of a run, and the effect of a power cut on them."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 
 
 class States:
-    """Operations are recorded only where the plan can cut power."""
+    """Disk operations are recorded only if a fault of the plan is a power cut."""
 
     def __init__(self, plan: Plan, seed: int, folder: Path) -> None:
-        self._how, self._seed, self._folder = plan.fleet.state, seed, folder
+        self._mode, self._seed, self._folder = plan.fleet.state, seed, folder
         self._recorded = any(isinstance(fault, Restart) and fault.how == "power" for fault in plan.faults)
-        self._bases: dict[str, dict[str, bytes]] = {}  # what a power cut left, by sidecar
-        self._cuts = Counter[str]()
+        self._bases: dict[str, dict[str, bytes]] = {}  # files that the last power cut left, by sidecar
+        self._power_cuts = Counter[str]()
 
     def folder(self, name: str) -> Path:
         return self._folder / f"{name}.state"
 
     def _record(self, name: str) -> Path:
-        return self._folder / f"{name}.operations"  # a name that syscalls.c knows
+        return self._folder / f"{name}.operations"  # syscalls.c exempts files with this suffix
 
-    def told(self, name: str, predecessor: str) -> dict[str, Any]:
-        """What a sidecar's configuration has of it. `predecessor`: the management address of its process
-        that runs, if one does."""
-        if self._how == "none":
+    def configuration(self, name: str, predecessor: str) -> dict[str, Any]:
+        """The part of a sidecar's configuration about its state. `predecessor`: the management address of its
+        running process, or empty."""
+        if self._mode == "none":
             return {}
-        if self._how == "call":
+        if self._mode == "call":
             return (
                 {"state": {"deployment": "rig", "predecessor": predecessor}} if predecessor else {"state": {}}
             )
-        told: dict[str, Any] = {"state": {"deployment": "rig", "dir": str(self.folder(name))}}
+        configuration: dict[str, Any] = {"state": {"deployment": "rig", "dir": str(self.folder(name))}}
         if self._recorded:
-            told["disk"] = {"record": str(self._record(name))}
-        return told
+            configuration["disk"] = {"record": str(self._record(name))}
+        return configuration
 
     def cut_power(self, name: str) -> None:
-        """What is not durable of a sidecar's folder is lost, as its process has ended. Raises OSError."""
+        """Replace a stopped sidecar's files by what a power cut may have left of them. Raises OSError."""
         folder, record = self.folder(name), self._record(name)
         if not record.exists():
             return
-        self._cuts[name] += 1
+        self._power_cuts[name] += 1
         volume = replay(record.read_bytes(), self._bases.get(name, {}))
-        volume.crash(random.Random(f"{self._seed} {name} {self._cuts[name]}").getrandbits(32))
+        volume.crash(random.Random(f"{self._seed} {name} {self._power_cuts[name]}").getrandbits(32))
         for path in folder.iterdir():
             path.unlink()
         volume.write_to(folder)
--- a/sprucenotch/rig/sweep.py
+++ b/sprucenotch/rig/sweep.py
@@ -93,7 +93,7 @@
             with tempfile.TemporaryFile() as complaints:
                 child = Child((sys.executable, "-m", "sprucenotch", *words), stderr=complaints)
                 children.add(child)
-                code = await child.gone()
+                code = await child.wait()
                 children.discard(child)
                 # A run that ends by a fault of its own has code 1 as well, and says so.
                 crashed = code == 1 and complaints.tell() > 0
--- a/sprucenotch/rig/volume.py
+++ b/sprucenotch/rig/volume.py
@@ -1,12 +1,12 @@
-"""A disk that fills up, slows down, fails and loses power, behind the program's own seam.
+"""A simulated disk that fills up, slows down, fails and loses power, behind the program's disk interface.
 
-A power cut leaves of everything that was not made durable whatever a file system may leave: of each write
-any of its sectors of 512 bytes, a size with or without what it covers (zeros then), of the changes of
-names any, in their order. `crash` draws one of these outcomes by seed. A sync that fails leaves what it
-should have written in doubt for good, as Linux does: later syncs do not write it.
+After a power cut, of everything that was not synced any state that a file system allows may remain: any of
+the 512-byte sectors of each write, a file size with or without the data (zeros then), and any of the
+directory changes, in their order. `crash` draws one of these outcomes by seed. After a sync that fails, the
+data that it should have written stays in doubt, as on Linux: later syncs do not write it.
 
-Operations of a real process are recorded by `seams/recorded.py`, in a file that outlives it, and `replay`
-makes the volume of them that a power cut at that moment would have left.
+Operations of a real process are recorded by `seams/recorded.py` in a file, and `replay` builds from it the
+volume whose `crash` gives what a power cut at that moment would have left.
 """
 
 from __future__ import annotations
@@ -28,18 +28,20 @@
 
 
 class Extent(NamedTuple):
-    """A write that is not durable."""
+    """A write that is not synced yet."""
 
     start: int
     data: bytes
 
 
 class Inode:
+    """A file: its contents as read, and as they are on the disk."""
+
     def __init__(self) -> None:
         self.visible = bytearray()
         self.durable = bytearray()
         self.pending: list[Extent | int] = []  # writes, and the sizes of truncations
-        self.doubtful: list[Extent | int] = []  # of a sync that failed
+        self.doubtful: list[Extent | int] = []  # changes of a sync that failed
 
     def write(self, data: bytes) -> None:
         self.pending.append(Extent(len(self.visible), data))
@@ -56,12 +58,12 @@
         self.pending.clear()
 
     def fail_sync(self) -> None:
-        """The pages count as written from now on, and are not."""
+        """The pages are marked as clean although they were not written."""
         self.doubtful += self.pending
         self.pending.clear()
 
     def crash(self, rng: random.Random) -> None:
-        """Only what the disk holds is left."""
+        """Keep the synced contents and a random subset of the sectors of other changes."""
         for change in (*self.doubtful, *self.pending):
             for part in _sectors(change):
                 if rng.random() < 0.5:
@@ -71,18 +73,18 @@
         self.visible = bytearray(self.durable)
 
 
-def _apply(held: bytearray, change: Extent | int) -> None:
+def _apply(contents: bytearray, change: Extent | int) -> None:
     if isinstance(change, int):
-        del held[change:]
-        held.extend(bytes(max(0, change - len(held))))
+        del contents[change:]
+        contents.extend(bytes(max(0, change - len(contents))))
         return
     end = change.start + len(change.data)
-    held.extend(bytes(max(0, end - len(held))))  # what lies before and was not written is zeros
-    held[change.start : end] = change.data
+    contents.extend(bytes(max(0, end - len(contents))))  # a gap before it reads as zeros
+    contents[change.start : end] = change.data
 
 
 def _sectors(change: Extent | int) -> Iterator[Extent | int]:
-    """The parts that reach the disk by themselves."""
+    """Split a change into the parts that reach the disk independently."""
     if isinstance(change, int):
         yield change
         return
@@ -93,95 +95,95 @@
         at = stop
 
 
-class Naming(NamedTuple):
-    """A change of names as one step: some get a file, some lose theirs."""
+class DirectoryChange(NamedTuple):
+    """An atomic change of directory entries."""
 
-    given: tuple[tuple[str, Inode], ...] = ()
-    taken: tuple[str, ...] = ()
+    added: tuple[tuple[str, Inode], ...] = ()
+    removed: tuple[str, ...] = ()
 
 
 class Volume:
-    """A folder in memory. Set its troubles at any time."""
+    """A folder in memory. Its faults (`room`, `slow`, `failing`) may be set at any time."""
 
     def __init__(self, sleep: Callable[[float], None] = time.sleep) -> None:
         self._names: dict[str, Inode] = {}
         self._durable: dict[str, Inode] = {}
-        self._pending: list[Naming] = []
+        self._pending: list[DirectoryChange] = []
         self._locked: set[str] = set()
         self._sleep = sleep
-        self.room: int | None = None  # bytes that still go in
+        self.room: int | None = None  # free bytes; None for no limit
         self.slow = 0.0  # seconds that each operation takes
         self.failing: set[str] = (
             set()
         )  # operations that fail: write, sync, read, rename, remove, open, names, lock
 
-    # ---- the seam
+    # ---- the disk interface
 
     def names(self) -> list[str]:
-        self._enter("names")
+        self._begin("names")
         return sorted(self._names)
 
     def read(self, name: str) -> bytes:
-        self._enter("read")
+        self._begin("read")
         return bytes(self._inode(name).visible)
 
     def open(self, name: str, anew: bool = False) -> OpenFile:
-        self._enter("open")
+        self._begin("open")
         if name not in self._names:
-            self._rename(Naming(((name, Inode()),)))
+            self._change_names(DirectoryChange(((name, Inode()),)))
         if anew:
             self._names[name].truncate(0)
         return OpenFile(self, self._names[name])
 
     def rename(self, old: str, new: str) -> None:
-        self._enter("rename")
-        self._rename(Naming(((new, self._inode(old)),), (old,)))
+        self._begin("rename")
+        self._change_names(DirectoryChange(((new, self._inode(old)),), (old,)))
 
     def remove(self, name: str) -> None:
-        self._enter("remove")
+        self._begin("remove")
         self._inode(name)
-        self._rename(Naming(taken=(name,)))
+        self._change_names(DirectoryChange(removed=(name,)))
 
     def sync_names(self) -> None:
-        self._enter("sync")
+        self._begin("sync")
         self._durable = dict(self._names)
         self._pending.clear()
 
     def lock(self, name: str) -> None:
-        self._enter("lock")
+        self._begin("lock")
         if name in self._locked:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         self._locked.add(name)
 
     def unlock(self) -> None:
-        """The process that held the locks has ended."""
+        """Release all locks, as when the process that holds them ends."""
         self._locked.clear()
 
-    # ---- what it does behind
+    # ---- faults and power cuts
 
     def _inode(self, name: str) -> Inode:
         if name not in self._names:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT), name)
         return self._names[name]
 
-    def _rename(self, change: Naming) -> None:
-        _rename(self._names, change)
+    def _change_names(self, change: DirectoryChange) -> None:
+        _change_names(self._names, change)
         self._pending.append(change)
 
-    def _enter(self, operation: str) -> None:
+    def _begin(self, operation: str) -> None:
         if self.slow:
             self._sleep(self.slow)
         if operation in self.failing:
             raise OSError(errno.EIO, os.strerror(errno.EIO))
 
     def crash(self, seed: int) -> None:
-        """Power is cut and comes back: what was durable is there, of the rest what the seed draws."""
+        """Cut the power: keep synced changes and, drawn by seed, some others. Clears faults and locks."""
         rng = random.Random(f"crash {seed}")
         inodes = {id(inode): inode for inode in (*self._durable.values(), *self._names.values())}
         for change in self._pending:
-            inodes |= {id(inode): inode for _, inode in change.given}
+            inodes |= {id(inode): inode for _, inode in change.added}
             if rng.random() < 0.5:
-                _rename(self._durable, change)
+                _change_names(self._durable, change)
         for inode in inodes.values():
             inode.crash(rng)
         self._names = dict(self._durable)
@@ -191,15 +193,15 @@
         self.failing.clear()
 
     def write_to(self, folder: Path) -> None:
-        """Lay its files out in a real folder that is there and empty."""
+        """Write its files to an existing empty folder."""
         for name, inode in self._names.items():
             (folder / name).write_bytes(inode.visible)
 
 
-def _rename(names: dict[str, Inode], change: Naming) -> None:
-    for name in change.taken:
+def _change_names(names: dict[str, Inode], change: DirectoryChange) -> None:
+    for name in change.removed:
         names.pop(name, None)
-    names.update(change.given)
+    names.update(change.added)
 
 
 class OpenFile:
@@ -207,7 +209,7 @@
         self._volume, self._inode = volume, inode
 
     def write(self, data: bytes) -> None:
-        self._volume._enter("write")
+        self._volume._begin("write")
         room = self._volume.room
         if room is not None:
             self._volume.room = max(0, room - len(data))
@@ -220,23 +222,23 @@
 
     def sync(self) -> None:
         try:
-            self._volume._enter("sync")
+            self._volume._begin("sync")
         except OSError:
             self._inode.fail_sync()
             raise
         self._inode.sync()
 
     def truncate(self, size: int) -> None:
-        self._volume._enter("write")
+        self._volume._begin("write")
         self._inode.truncate(size)
 
     def close(self) -> None:
-        """Makes nothing durable."""
+        """Does not sync."""
 
 
 def replay(record: bytes, base: Mapping[str, bytes] = MappingProxyType({})) -> Volume:
-    """The volume after all operations of a record, with these files durable before; an operation that was
-    cut short at the record's end is not there."""
+    """Build the volume after all operations of a record, starting from the synced files `base`. An incomplete
+    operation at the end of the record is ignored."""
     volume, files, at = Volume(), dict[str, OpenFile](), 0
     for name, data in base.items():
         file = volume.open(name)
@@ -247,22 +249,22 @@
         end = at + 4 + int.from_bytes(record[at : at + 4], "big")
         if end > len(record):
             break
-        did = msgspec.msgpack.decode(record[at + 4 : end], type=Operation)
+        operation = msgspec.msgpack.decode(record[at + 4 : end], type=Operation)
         at = end
-        match did.do:
+        match operation.do:
             case "open":
-                files[did.name] = volume.open(did.name, bool(did.size))
+                files[operation.name] = volume.open(operation.name, bool(operation.size))
             case "write":
-                files[did.name].write(did.data)
+                files[operation.name].write(operation.data)
             case "sync":
-                files[did.name].sync()
+                files[operation.name].sync()
             case "truncate":
-                files[did.name].truncate(did.size)
+                files[operation.name].truncate(operation.size)
             case "rename":
-                volume.rename(did.name, did.other)
-                files[did.other] = files.pop(did.name, volume.open(did.other))
+                volume.rename(operation.name, operation.other)
+                files[operation.other] = files.pop(operation.name, volume.open(operation.other))
             case "remove":
-                volume.remove(did.name)
+                volume.remove(operation.name)
             case "sync names":
                 volume.sync_names()
     return volume
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -7,14 +7,16 @@
 
 from sprucenotch.rig.discovery import Discovery, Entry
 from sprucenotch.rig.engine import DECLINED, Engine, Work
-from sprucenotch.rig.http import Call
+from sprucenotch.rig.http import Request
 from tests.sidecar import run
 
 WORK = {b"look": Work(0.001)}
 
 
 def ask(engine: Engine, answers: list[bytes]) -> None:
-    engine._called(Call(b"GET", b"/api", b"", {b"req-kind": b"look", b"req-id": b"1"}, b""), answers.append)
+    engine._handle(
+        Request(b"GET", b"/api", b"", {b"req-kind": b"look", b"req-id": b"1"}, b""), answers.append
+    )
 
 
 def test_an_engine_serves_its_slots_holds_its_queue_and_declines_the_rest() -> None:
@@ -47,7 +49,7 @@
 
 def watch(discovery: Discovery, query: bytes) -> asyncio.Future[bytes]:
     told: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-    discovery._called("", Call(b"GET", b"/discovery/hosts", query, {}, b""), told.set_result)
+    discovery._handle("", Request(b"GET", b"/discovery/hosts", query, {}, b""), told.set_result)
     return told
 
 
