--- a/sprucenotch/cli/demo.py
+++ b/sprucenotch/cli/demo.py
@@ -26,16 +26,17 @@
 from sprucenotch.rig.process import RigError
 from sprucenotch.rig.remote import AnyEngine
 from sprucenotch.rig.summary import OUTCOMES
-from sprucenotch.rig.trouble import TROUBLES, Troubles
+from sprucenotch.rig.trouble import NAMED_FAULTS, FaultSwitches
 
-KEYS = {trouble.key: name for name, trouble in TROUBLES.items()}
+KEYS = {trouble.key: name for name, trouble in NAMED_FAULTS.items()}
 BAR = 7  # the most that an engine holds: one at work and six that wait
 
 
 def demo(
     seconds: Annotated[float, typer.Option("--for", help="Stop after so many seconds.", min=3, max=600)] = 30,
     trouble: Annotated[
-        str, typer.Option(help=f"In the middle third: {', '.join(TROUBLES)}. Also by its key at any time.")
+        str,
+        typer.Option(help=f"In the middle third: {', '.join(NAMED_FAULTS)}. Also by its key at any time."),
     ] = "",
     sidecars: Annotated[int, typer.Option(min=1)] = 2,
     engines: Annotated[int, typer.Option(min=3)] = 6,
@@ -44,9 +45,9 @@
     as_json: AsJson = False,
 ) -> None:
     """Start engines, discovery, real sidecars and clients on loopback; show how they do; stop by itself."""
-    if trouble and trouble not in TROUBLES:
-        fail(Exit.BAD_INPUT, f"no such trouble: {trouble!r}; there are {', '.join(TROUBLES)}")
-    steps = (Step(seconds / 3, TROUBLES[trouble].fault, seconds / 3),) if trouble else ()
+    if trouble and trouble not in NAMED_FAULTS:
+        fail(Exit.BAD_INPUT, f"no such trouble: {trouble!r}; there are {', '.join(NAMED_FAULTS)}")
+    steps = (Step(seconds / 3, NAMED_FAULTS[trouble].fault, seconds / 3),) if trouble else ()
     plan = Plan(
         trouble, seconds, 0.0, Fleet(sidecars=sidecars, engines=engines), Load(share=load), CLASSES, steps
     )
@@ -78,7 +79,7 @@
         asyncio.get_running_loop().add_signal_handler(number, day.interrupt)
     shown = Live(Text("starting ..."), console=Console(), auto_refresh=False)
     readings: list[Reading | None] = [None] * plan.fleet.sidecars
-    troubles = Troubles(day.faults)
+    troubles = FaultSwitches(day.faults)
 
     async def look(second: Second) -> None:
         for number, sidecar in enumerate(day.stage.sidecars.values()):
@@ -96,7 +97,7 @@
 
 
 @contextlib.contextmanager
-def _keys(day: Play, troubles: Troubles) -> Iterator[None]:
+def _keys(day: Play, troubles: FaultSwitches) -> Iterator[None]:
     """Keys turn troubles on and off; q ends the day."""
     if not sys.stdin.isatty():
         yield
@@ -109,7 +110,7 @@
         if key == "q":
             day.stopped.set()
         elif (name := KEYS.get(key)) is not None:
-            task = loop.create_task(troubles.turn(name, name not in troubles.on))
+            task = loop.create_task(troubles.switch(name, name not in troubles.on))
             pending.add(task)
             task.add_done_callback(pending.discard)
 
@@ -170,7 +171,7 @@
 def view(day: Play, second: Second, readings: list[Reading | None], troubles: list[str]) -> RenderableType:
     planned = [day.plan.title] if _planned(day, second) else []
     on = ", ".join(dict.fromkeys((*troubles, *planned))) or "none"
-    keys = "  ".join(f"[{trouble.key}] {name}" for name, trouble in TROUBLES.items())
+    keys = "  ".join(f"[{trouble.key}] {name}" for name, trouble in NAMED_FAULTS.items())
     head = Text.assemble(
         ("sprucenotch", "bold"), f"  {second.at:.0f} of {day.plan.length:.0f} s, ",
         f"{day.plan.rate * day.faults.load:.0f} requests a second; trouble: ",
--- a/sprucenotch/cli/rig.py
+++ b/sprucenotch/cli/rig.py
@@ -359,5 +359,5 @@
         say_json(msgspec.to_builtins(result))
     else:
         print(closing(result))
-        print(soaks.said(play.seconds))
+        print(soaks.summary(play.seconds))
     raise typer.Exit(verdict(result))
--- a/sprucenotch/cli/service.py
+++ b/sprucenotch/cli/service.py
@@ -27,7 +27,7 @@
         from sprucenotch.rig import service as returns
     except ImportError as problem:
         fail(Exit.BAD_INPUT, f"{problem.name} is not there; {LAB}")
-    found: dict[str, dict[str, dict[int, returns.Return]]] = {}
+    found: dict[str, dict[str, dict[int, returns.Figures]]] = {}
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         wanted: dict[tuple[str, str], list[Job]] = {}
         for case in returns.CASES:
--- a/sprucenotch/rig/__init__.py
+++ b/sprucenotch/rig/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: stand-ins for all that a sidecar talks to, on loopback. The sidecar imports none of it."""
+"""The testbed: simulated clients, servers and discovery on loopback. The sidecar imports none of it."""
--- a/sprucenotch/rig/compare.py
+++ b/sprucenotch/rig/compare.py
@@ -1,4 +1,4 @@
-"""Two revisions over the same seeds: whether a difference is more than chance."""
+"""Compares two revisions over the same seeds with a bootstrap confidence interval."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Comparison(NamedTuple):
-    """Worth of one revision less that of another, by paired seeds."""
+    """The mean difference over paired seeds, with its confidence interval."""
 
     pairs: int
     difference: float  # mean
@@ -25,23 +25,22 @@
 
     @property
     def shown(self) -> bool:
-        """Whether a difference is: the interval holds no 0."""
+        """Whether the difference is significant: the interval does not contain 0."""
         return self.low > 0 or self.high < 0
 
 
 def compare(first: dict[int, Row], second: dict[int, Row]) -> Comparison:
-    """A bootstrap interval (BCa) of the mean of the paired differences, second less first. Raises RigError
-    with fewer than three pairs."""
+    """The paired differences in worth, second minus first. Raises RigError with fewer than three pairs."""
     seeds = sorted(first.keys() & second.keys())
     if len(seeds) < 3:
         raise RigError(
-            f"{len(seeds)} paired runs that count are too few for an interval, three are the least"
+            f"{len(seeds)} valid paired runs are too few for an interval; at least three are needed"
         )
     return interval([second[s].result.summary.worth - first[s].result.summary.worth for s in seeds])
 
 
 def interval(paired: Sequence[float]) -> Comparison:
-    """Of the mean of paired differences."""
+    """The bootstrap interval (BCa) of the mean of paired differences."""
     differences = np.array(paired)
     mean = float(differences.mean())
     if np.ptp(differences) == 0:
--- a/sprucenotch/rig/deployment.py
+++ b/sprucenotch/rig/deployment.py
@@ -1,4 +1,4 @@
-"""What the sidecars of a plan are told of their deployment, in the platform's form."""
+"""The deployment settings of the sidecars of a plan, in the platform's format."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def settings(plan: Plan, number: int, attempts: int) -> dict[str, Any]:
-    """The settings of the sidecar of that number."""
+    """Build the settings of one sidecar; `number` is its index in the fleet."""
     fleet, tenants = plan.fleet, plan.load.tenants
     total = sum(t.share for t in tenants)
     return {
         "Azs": list(fleet.zones), "Zone": number % len(fleet.zones), "Kinds": [],
         "NInstances": fleet.sidecars, "Position": number, "Discovery": fleet.discovery,
-        "Categories": [_category(one) for one in plan.classes],
+        "Categories": [_category(cls) for cls in plan.classes],
         "Orgs": [{"Name": t.name, "Portion": t.share / total, "QuotaPerS": plan.rate * t.share / total}
                  for t in tenants],
         "Limits": {"MaxAttempts": attempts, "Cancel": True, "Probes": True, "RetryAfter": True,
@@ -25,9 +25,9 @@
     }  # fmt: skip
 
 
-def _category(one: Class) -> dict[str, Any]:
+def _category(cls: Class) -> dict[str, Any]:
     return {
-        "Name": one.name, "AimNs": one.aim, "HardLimitNs": one.deadline, "Importance": one.worth,
-        "LateWorth": 0.0, "Effect": one.effect, "KeyScope": "all",
-        "WindowNs": one.window if one.effect == "dedup" else 0,
+        "Name": cls.name, "AimNs": cls.aim, "HardLimitNs": cls.deadline, "Importance": cls.worth,
+        "LateWorth": 0.0, "Effect": cls.effect, "KeyScope": "all",
+        "WindowNs": cls.window if cls.effect == "dedup" else 0,
     }  # fmt: skip
--- a/sprucenotch/rig/nemesis.py
+++ b/sprucenotch/rig/nemesis.py
@@ -1,4 +1,4 @@
-"""Draws faults by seed. A pure function of the plan and the seed: the same two give the same steps."""
+"""Draws a fault schedule by seed: the same plan and seed give the same steps."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from sprucenotch.rig.faults import SELF_ENDING
 from sprucenotch.rig.plan import SECOND, Plan, Step
 
-OWN_TIME = 2.0  # seconds granted to a fault that ends by itself
+OWN_TIME = 2.0  # seconds that a fault which ends by itself counts as active
 
 
 def steps(plan: Plan, seed: int) -> tuple[Step, ...]:
-    """The plan's own steps with those that its nemesis draws: at most `at_once` overlap, none lasts beyond
-    its end."""
+    """The plan's own steps and those that its nemesis draws. Of the drawn steps at most `at_once` overlap, and
+    none lasts beyond the end of the nemesis."""
     nemesis = plan.nemesis
     if nemesis is None:
         return plan.steps
@@ -27,7 +27,7 @@
             break
         ends_itself = isinstance(fault, SELF_ENDING)
         lasts = min(OWN_TIME if ends_itself else lasts, end - at)
-        under_way = [s for s in drawn if s.at + (s.lasts or OWN_TIME) > at]
-        if len(under_way) < nemesis.at_once:
+        overlapping = [s for s in drawn if s.at + (s.lasts or OWN_TIME) > at]
+        if len(overlapping) < nemesis.at_once:
             drawn.append(Step(at, fault, 0.0 if ends_itself else lasts))
     return tuple(sorted((*plan.steps, *drawn), key=lambda step: step.at))
--- a/sprucenotch/rig/revision.py
+++ b/sprucenotch/rig/revision.py
@@ -1,4 +1,4 @@
-"""The program at a revision of this repository, beside the one at work."""
+"""Other revisions of the program, checked out from this repository."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 
 
 class RevisionError(RigError):
-    """There is no such revision here."""
+    """The revision is unknown, or there is no repository."""
 
 
 class Program(NamedTuple):
-    """How a sidecar of it is started."""
+    """How a sidecar of a revision is started."""
 
     command: tuple[str, ...] = (sys.executable, "-m", "sprucenotch")
-    cwd: Path | None = None  # where its modules are found; None for those of this process
+    cwd: Path | None = None  # the folder with its modules; None for those of this process
 
 
 def git(*words: str) -> bytes:
-    """Raises RevisionError with git's own line."""
+    """Run git and return its output. Raises RevisionError with git's last error line."""
     try:
         return subprocess.run(("git", *words), cwd=ROOT, check=True, capture_output=True).stdout
     except FileNotFoundError:
-        raise RevisionError("git is needed for revisions and is not there") from None
-    except subprocess.CalledProcessError as problem:
-        said = problem.stderr.decode(errors="replace").strip().splitlines()
-        raise RevisionError(said[-1] if said else f"git ended with {problem.returncode}") from None
+        raise RevisionError("git is needed for revisions and is not installed") from None
+    except subprocess.CalledProcessError as error:
+        complaint = error.stderr.decode(errors="replace").strip().splitlines()
+        raise RevisionError(complaint[-1] if complaint else f"git ended with {error.returncode}") from None
 
 
 def name(revision: str = "HEAD") -> str:
-    """Its short name; where the tree holds changes, with a + and what tells these from others. `unknown`
-    outside of a repository. Raises RevisionError on one that is not there."""
+    """The short hash of a revision; for HEAD with local changes, followed by + and a digest of the changes;
+    `unknown` outside of a repository. Raises RevisionError if there is no such revision."""
     try:
         short = git("rev-parse", "--short", f"{revision}^{{commit}}").decode().strip()
         if revision != "HEAD" or not (changed := git("status", "--porcelain", "--", "sprucenotch")):
@@ -57,14 +57,14 @@
 
 
 class Programs(contextlib.ExitStack):
-    """Trees of revisions, each taken once and kept until the end. Without a name it is this tree."""
+    """Checked-out revisions, each extracted once and deleted at the end. The empty name is this tree."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._known: dict[str, Program] = {}
+        self._programs: dict[str, Program] = {}
 
     def tree(self, revision: str) -> Path:
-        """Raises RevisionError."""
+        """Extract a revision into a temporary folder. Raises RevisionError."""
         raw = git("archive", revision, ":!journal")
         folder = Path(self.enter_context(tempfile.TemporaryDirectory(prefix="revision-")))
         with tarfile.open(fileobj=io.BytesIO(raw)) as archive:
@@ -72,14 +72,14 @@
         return folder
 
     def program(self, revision: str) -> Program:
-        """Raises RevisionError."""
+        """Return how to start that revision. Raises RevisionError."""
         if not revision:
-            return self._known.setdefault("", Program())
-        if revision not in self._known:
+            return self._programs.setdefault("", Program())
+        if revision not in self._programs:
             folder = self.tree(revision)
             words = tomllib.loads((folder / "deploy" / "balancer.toml").read_text())["run"].split()
             module = words[words.index("-m") + 1]
-            # Bytecode as a deployment's build leaves it: compiling at the start would cost memory and time.
+            # Compile to bytecode, as a deployment's build does: compiling at start costs memory and time.
             compileall.compile_dir(folder / module, quiet=1)
-            self._known[revision] = Program((sys.executable, "-m", module), folder)
-        return self._known[revision]
+            self._programs[revision] = Program((sys.executable, "-m", module), folder)
+        return self._programs[revision]
--- a/sprucenotch/rig/service.py
+++ b/sprucenotch/rig/service.py
@@ -1,7 +1,8 @@
-"""How fast service returns when sidecars start anew: runs with and without what the process before left.
+"""Measures how fast service recovers after sidecar restarts, with and without state kept on disk.
 
-Each run is one of three: a sidecar replaced; all, a tenth at a time; seven in ten killed at one moment with
-the list of the run's start, after half of the engines were replaced. Everything is paired by seed.
+There are three cases: one sidecar is replaced; all are replaced, a tenth at a time; and seven in ten are
+killed at the same time and restart with the server list of the beginning, after half of the engines were
+replaced. Runs with and without state are paired by seed.
 """
 
 from __future__ import annotations
@@ -23,10 +24,10 @@
 from sprucenotch.rig.summary import outcome
 from sprucenotch.rig.truth.history import Ended, Event, Process, Sent
 
-AT = 4.0  # seconds at which the first sidecar starts anew
-AFTER = 10.0  # seconds of service judged from then on
-WINDOW = 1.0  # seconds over which service is taken
-RETURNED = 0.9  # of the service before
+FIRST_RESTART_AT = 4.0  # seconds
+JUDGED_AFTER = 10.0  # seconds from then on that are evaluated
+WINDOW = 1.0  # seconds over which the service level is averaged
+RECOVERED_SHARE = 0.9  # of the service level before
 STATES = ("none", "folder")
 CASES = {
     "one": '{ do = "restart", on = "sidecar-0", how = "upgrade", at = "4s" }',
@@ -60,12 +61,12 @@
 
 
 def plan(case: str, state: str) -> str:
-    """The text of a case's plan."""
+    """Return the plan of a case as text."""
     return PLAN.format(title=TITLES[case], state=state, steps=CASES[case])
 
 
-class Return(NamedTuple):
-    """What one run shows; the fields are those of `FIGURES`."""
+class Figures(NamedTuple):
+    """The figures of one run; the fields are those of `FIGURES`."""
 
     ready: float
     slowest: float
@@ -76,22 +77,25 @@
 
 
 class _Worth(NamedTuple):
+    """The worth of one call, and how much of it was served."""
+
     at: float  # seconds from the first restart
     asked: float
     served: float
 
 
-def measure(source: str, history: Sequence[Event], logs: Mapping[str, str], began: float) -> Return:
-    """`began`: the time of the first request in the history."""
+def measure(source: str, history: Sequence[Event], logs: Mapping[str, str], began: float) -> Figures:
+    """Compute the figures of a run. `began` is the time of the first request in the history."""
     classes = {c.name: c for c in plans.decode(source.encode()).classes}
-    worths = _worths(history, classes, began + AT)
-    took = _took_ready(history)
-    before = _share([w for w in worths if -AT + 1 <= w.at < 0])
-    after = [w for w in worths if 0 <= w.at < AFTER]
+    worths = _worths(history, classes, began + FIRST_RESTART_AT)
+    ready_times = _ready_times(history)
+    before = _share([w for w in worths if -FIRST_RESTART_AT + 1 <= w.at < 0])
+    after = [w for w in worths if 0 <= w.at < JUDGED_AFTER]
     lives = [text for name, text in logs.items() if not name.endswith(".0")]
-    return Return(
-        statistics.median(took), max(took), _returned(after, RETURNED * before),
-        max(0.0, before - _share(after)), _counted(lives, "lists_asked"), _counted(lives, "handshakes"),
+    return Figures(
+        statistics.median(ready_times), max(ready_times), _recovery_time(after, RECOVERED_SHARE * before),
+        max(0.0, before - _share(after)), _status_sum(lives, "lists_asked"),
+        _status_sum(lives, "handshakes"),
     )  # fmt: skip
 
 
@@ -109,46 +113,46 @@
     return sum(w.served for w in worths) / max(1e-9, sum(w.asked for w in worths))
 
 
-def _returned(after: Sequence[_Worth], least: float) -> float:
-    """When the last window ended that was below; 0 where none was."""
+def _recovery_time(after: Sequence[_Worth], threshold: float) -> float:
+    """The end of the last window below that service level, in seconds; 0 if there is none."""
     last = 0.0
-    for tenth in range(int((AFTER - WINDOW) * 10) + 1):
+    for tenth in range(int((JUDGED_AFTER - WINDOW) * 10) + 1):
         begin = tenth / 10
         inside = [w for w in after if begin <= w.at < begin + WINDOW]
-        if inside and _share(inside) < least:
+        if inside and _share(inside) < threshold:
             last = begin + WINDOW
     return last
 
 
-def _took_ready(history: Sequence[Event]) -> list[float]:
+def _ready_times(history: Sequence[Event]) -> list[float]:
     lives = [e for e in history if isinstance(e, Process) and e.life > 0]
     started = {(e.name, e.life): e.at for e in lives if e.what == "started"}
     return [e.at - started[e.name, e.life] for e in lives if e.what == "ready"]
 
 
-def _counted(logs: Sequence[str], name: str) -> float:
+def _status_sum(logs: Sequence[str], name: str) -> float:
     lines = (line for text in logs for line in text.splitlines() if '"status"' in line)
     return float(sum(json.loads(line).get(name, 0) for line in lines))
 
 
-def compared(by_state: Mapping[str, Mapping[int, Return]]) -> dict[str, Comparison]:
-    """With the state less without, by figure, over the seeds that both have."""
-    without, having = (by_state[state] for state in STATES)
-    seeds = sorted(without.keys() & having.keys())
+def compared(by_state: Mapping[str, Mapping[int, Figures]]) -> dict[str, Comparison]:
+    """Differences with state minus without, by figure, over the seeds that both have."""
+    without_state, with_state = (by_state[state] for state in STATES)
+    seeds = sorted(without_state.keys() & with_state.keys())
     return {
-        name: interval([getattr(having[s], name) - getattr(without[s], name) for s in seeds])
+        name: interval([getattr(with_state[s], name) - getattr(without_state[s], name) for s in seeds])
         for name in FIGURES
     }
 
 
-def draw(found: Mapping[str, Mapping[str, Mapping[int, Return]]], out: Path) -> None:
-    """Every run as a point: figures in rows, cases in columns. Raises OSError."""
+def draw(found: Mapping[str, Mapping[str, Mapping[int, Figures]]], out: Path) -> None:
+    """Draw every run as a point, with figures in rows and cases in columns. Raises OSError."""
     rows, columns = len(FIGURES), len(found)
     figure, grid = plt.subplots(rows, columns, figsize=(4 * columns, 2.2 * rows), squeeze=False)
     for column, (case, by_state) in enumerate(found.items()):
         for row, (name, meaning) in enumerate(FIGURES.items()):
             axes = grid[row][column]
-            points = [[getattr(one, name) for one in by_state[state].values()] for state in STATES]
+            points = [[getattr(run, name) for run in by_state[state].values()] for state in STATES]
             axes.boxplot(points, orientation="horizontal", widths=0.5, showfliers=False)
             for level, values in enumerate(points, 1):
                 axes.plot(values, [level] * len(values), ".", color="#4c78a8", alpha=0.5)
--- a/sprucenotch/rig/stage.py
+++ b/sprucenotch/rig/stage.py
@@ -28,7 +28,7 @@
 from sprucenotch.rig.state import States
 from sprucenotch.rig.syscalls import Control
 from sprucenotch.rig.truth.history import Event, Process, Wrote
-from sprucenotch.rig.wiring import Wiring
+from sprucenotch.rig.wiring import Network
 
 MAX_LOG_TAIL = 256 * 1024  # bytes kept of each log
 
@@ -52,7 +52,7 @@
         self.programs = Programs()
         self.engines: dict[str, AnyEngine] = {}  # by place; a replacement engine gets a new name
         self.sidecars: dict[str, Sidecar] = {}
-        self.wiring = Wiring(plan, self.rng)
+        self.wiring = Network(plan, self.rng)
         self.attempts: dict[str, int] = {}  # max_attempts by sidecar, where it differs from the plan
         self.controls: dict[str, Control] = {}  # of injected system call failures, by sidecar
         self.clocks: dict[str, Mapping[str, Any]] = {}  # clock errors, by sidecar
@@ -120,13 +120,13 @@
         for name in sidecar_names:
             await self._connect_sidecar(name)
         if fleet.peers:
-            self._peer_listen = await self.wiring.join_peers(sidecar_names)
+            self._peer_listen = await self.wiring.connect_peers(sidecar_names)
         program = self.programs.program(fleet.revision)
         start_lock, longest_deadline = asyncio.Lock(), max(c.deadline for c in self.plan.classes) / SECOND
         for name in sidecar_names:
             self.sidecars[name] = sidecar = Sidecar(
                 name, self._folder, self._configuration, self.now, self.witness,
-                lambda on, name=name: self.wiring.reachable(name, on), longest_deadline,  # type: ignore[misc]
+                lambda on, name=name: self.wiring.set_reachable(name, on), longest_deadline,  # type: ignore[misc]
                 start_lock,
             )  # fmt: skip
             if name in self.controls:
@@ -135,7 +135,7 @@
                     sidecar.environment = {**sidecar.environment, syscalls.SPARE_LOG: "1"}
             sidecar.program = self._own_programs.get(name, program)
             self._first_list[name] = await self.discovery.whole(name)
-            self.wiring.join("client", name, lambda sidecar=sidecar: sidecar.listen)  # type: ignore[misc]
+            self.wiring.open_relay("client", name, lambda sidecar=sidecar: sidecar.listen)  # type: ignore[misc]
         # Wait for all of them even if one fails: a start that is cancelled halfway leaves an orphan process.
         started = await asyncio.gather(*(s.start() for s in self.sidecars.values()), return_exceptions=True)
         for outcome in started:
@@ -166,12 +166,12 @@
     async def _connect_sidecar(self, name: str) -> None:
         """Open the links from a sidecar to discovery and to the engines."""
         self._discovery_addresses[name] = await self.discovery.face(name)
-        self.wiring.join(name, "discovery", lambda: self._discovery_addresses[name])
+        self.wiring.open_relay(name, "discovery", lambda: self._discovery_addresses[name])
         for place in self.engines:
             await self._connect_engine(name, place)
 
     async def _connect_engine(self, name: str, place: str) -> None:
-        dial = self.wiring.join(name, place, lambda: self.engines[place].dial)
+        dial = self.wiring.open_relay(name, place, lambda: self.engines[place].dial)
         if dial is not None:
             await self.discovery.dials(name, {self.engines[place].name: dial})
 
@@ -208,12 +208,12 @@
     async def engine_ends(self, place: str) -> None:
         """Kill an engine: its requests are lost, and new connections are refused."""
         await self.engines[place].die()
-        self.wiring.reachable(place, False)
+        self.wiring.set_reachable(place, False)
 
     async def engine_starts(self, place: str, cold: bool = True) -> None:
         """Restart the same engine at the same address; discovery shows it only by a new start time."""
         await self.engines[place].start(cold=cold)
-        self.wiring.reachable(place, True)
+        self.wiring.set_reachable(place, True)
         await self.tell(place, born_ms=int(time.time() * 1000) if cold else 0)
 
     async def new_engine(self, place: str) -> None:
--- a/sprucenotch/rig/syscalls.c
+++ b/sprucenotch/rig/syscalls.c
@@ -1,10 +1,10 @@
-/* A library to preload into a process under test: every n-th of its system calls of a kind fails.
+/* A library preloaded into a process under test that makes every n-th system call of a kind fail.
  *
- * SPRUCENOTCH_SYSCALLS names a file that the testbed maps as well (syscalls.py has the same layout). A rule
- * that is switched on there takes effect with the next call, in all processes that map the file. Calls on
- * sockets and on regular files count apart; what is neither (pipes, terminals, timers) never fails.
+ * SPRUCENOTCH_SYSCALLS names a file that the testbed maps too (syscalls.py has the same layout). A rule that is
+ * switched on there applies from the next call on, in all processes that map the file. Calls on sockets and on
+ * regular files are counted separately; calls on other descriptors (pipes, terminals, timers) never fail.
  *
- * The wall clock can be stepped by `wall_offset`; the monotonic clock is left alone.
+ * `wall_offset` shifts the wall clock; the monotonic clock is not changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -28,10 +28,10 @@
 /* In the order of syscalls.Call. */
 enum call { ACCEPT, SOCKET, CONNECT, CONNECTED, READ, WRITE, SHUTDOWN, WAIT, OPEN, FILE_WRITE, SYNC, RENAME,
             DATAGRAM, LISTEN, BIND, EPOLL_CTL, CALLS };
-#define SHORT (-1) /* in place of an error: the call moves one byte */
+#define SHORT (-1) /* as the error of a rule: the call transfers one byte */
 
 struct rule {
-    _Atomic uint32_t every; /* each so many calls one fails; 0: none */
+    _Atomic uint32_t every; /* one of so many calls fails; 0: none */
     _Atomic int32_t error;
     _Atomic uint32_t calls, failed;
 };
@@ -42,18 +42,18 @@
 };
 
 static struct control *control;
-/* The descriptor of the file in which the testbed records the operations of a disk (state.py): none of its calls
- * fails, or it would tell of a disk that never was. */
+/* The descriptor of the file in which disk operations are recorded (state.py). Its calls never fail, since the
+ * record would otherwise not match the disk. */
 #define RECORD_SUFFIX ".operations"
-static atomic_int recorder = -1;
-static int spare_log; /* no write to standard error fails: what the log tells is compared with what others saw */
-/* Whether the process listens: before, the interpreter loads its modules, and ends where one cannot be read, and the
- * event loop's library sets itself up, and ends where it cannot. */
-static atomic_int listens;
+static atomic_int record_fd = -1;
+static int spare_stderr; /* writes to standard error never fail: the log is compared with what the servers saw */
+/* Whether the process listens. Before that, reads of modules and epoll_ctl do not fail, since the interpreter and the
+ * event loop library would end the process. */
+static atomic_int listening;
 
 __attribute__((constructor)) static void attach(void)
 {
-    spare_log = getenv("SPRUCENOTCH_SPARE_LOG") != NULL;
+    spare_stderr = getenv("SPRUCENOTCH_SPARE_LOG") != NULL;
     const char *path = getenv("SPRUCENOTCH_SYSCALLS");
     if (path == NULL)
         return;
@@ -66,7 +66,7 @@
     close(fd);
 }
 
-/* 0 to go on, SHORT, or the error with which this call is to fail. */
+/* Returns 0 if the call may proceed, SHORT, or the error with which it must fail. */
 static int failure(enum call kind)
 {
     if (control == NULL)
@@ -93,14 +93,14 @@
 
 static mode_t type_of(int fd)
 {
-    struct stat told;
-    return fstat(fd, &told) == 0 ? told.st_mode & S_IFMT : 0;
+    struct stat status;
+    return fstat(fd, &status) == 0 ? status.st_mode & S_IFMT : 0;
 }
 
-/* What a transfer on this descriptor counts as: CALLS for one that never fails. */
+/* The kind that a transfer on this descriptor counts as; CALLS if it never fails. */
 static enum call transfer(int fd, enum call on_socket, enum call on_file)
 {
-    if (control == NULL || fd == atomic_load(&recorder) || (spare_log && fd == STDERR_FILENO))
+    if (control == NULL || fd == atomic_load(&record_fd) || (spare_stderr && fd == STDERR_FILENO))
         return CALLS;
     mode_t type = type_of(fd);
     if (type == S_IFREG)
@@ -150,7 +150,7 @@
 int listen(int fd, int backlog)
 {
     FAIL_IF(LISTEN);
-    atomic_store(&listens, 1);
+    atomic_store(&listening, 1);
     return REAL(listen)(fd, backlog);
 }
 
@@ -160,7 +160,7 @@
     return REAL(connect)(fd, address, size);
 }
 
-/* How a connection came up is told by SO_ERROR. */
+/* SO_ERROR gives the result of a non-blocking connect. */
 int getsockopt(int fd, int level, int name, void *value, socklen_t *size)
 {
     int done = REAL(getsockopt)(fd, level, name, value, size);
@@ -261,21 +261,21 @@
     return REAL(sendto)(fd, buffer, size, flags, address, length);
 }
 
-int epoll_pwait(int fd, struct epoll_event *events, int most, int timeout, const sigset_t *mask)
+int epoll_pwait(int fd, struct epoll_event *events, int max_events, int timeout, const sigset_t *mask)
 {
     FAIL_IF(WAIT);
-    return REAL(epoll_pwait)(fd, events, most, timeout, mask);
+    return REAL(epoll_pwait)(fd, events, max_events, timeout, mask);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout)
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout)
 {
     FAIL_IF(WAIT);
-    return REAL(epoll_wait)(fd, events, most, timeout);
+    return REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
 int epoll_ctl(int fd, int operation, int watched, struct epoll_event *event)
 {
-    if (atomic_load(&listens))
+    if (atomic_load(&listening))
         FAIL_IF(EPOLL_CTL);
     return REAL(epoll_ctl)(fd, operation, watched, event);
 }
@@ -295,7 +295,7 @@
 static int opened(const char *path, int fd)
 {
     if (fd >= 0 && is_record(path))
-        atomic_store(&recorder, fd);
+        atomic_store(&record_fd, fd);
     return fd;
 }
 
@@ -303,7 +303,7 @@
 {
     if (is_record(path))
         return 0;
-    if (!atomic_load(&listens) && (strstr(path, "/lib/") != NULL || strstr(path, ".py") != NULL))
+    if (!atomic_load(&listening) && (strstr(path, "/lib/") != NULL || strstr(path, ".py") != NULL))
         return 0;
     return failure(OPEN);
 }
@@ -317,38 +317,38 @@
         }                               \
     } while (0)
 
-static int mode_of(int flags, va_list more)
+static int mode_of(int flags, va_list arguments)
 {
-    return flags & (O_CREAT | O_TMPFILE) ? va_arg(more, int) : 0;
+    return flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, int) : 0;
 }
 
 int open64(const char *path, int flags, ...)
 {
     FAIL_OPEN(path);
-    va_list more;
-    va_start(more, flags);
-    int mode = mode_of(flags, more);
-    va_end(more);
+    va_list arguments;
+    va_start(arguments, flags);
+    int mode = mode_of(flags, arguments);
+    va_end(arguments);
     return opened(path, REAL(open64)(path, flags, mode));
 }
 
 int open(const char *path, int flags, ...)
 {
     FAIL_OPEN(path);
-    va_list more;
-    va_start(more, flags);
-    int mode = mode_of(flags, more);
-    va_end(more);
+    va_list arguments;
+    va_start(arguments, flags);
+    int mode = mode_of(flags, arguments);
+    va_end(arguments);
     return opened(path, REAL(open)(path, flags, mode));
 }
 
 int openat64(int folder, const char *path, int flags, ...)
 {
     FAIL_OPEN(path);
-    va_list more;
-    va_start(more, flags);
-    int mode = mode_of(flags, more);
-    va_end(more);
+    va_list arguments;
+    va_start(arguments, flags);
+    int mode = mode_of(flags, arguments);
+    va_end(arguments);
     return opened(path, REAL(openat64)(folder, path, flags, mode));
 }
 
--- a/sprucenotch/rig/trouble.py
+++ b/sprucenotch/rig/trouble.py
@@ -1,4 +1,4 @@
-"""Troubles with names, for those who turn them on and off by hand. Each is a fault, alone or with others."""
+"""Named faults that are switched on and off by hand, as in the demo. Several may be active at a time."""
 
 from __future__ import annotations
 
@@ -8,43 +8,45 @@
 from sprucenotch.rig.faults import Engines, Fault, Surge
 
 
-class Trouble(NamedTuple):
+class NamedFault(NamedTuple):
+    """A fault with a name and a key."""
+
     name: str
-    key: str  # that turns it on and off where keys are read
-    meaning: str
+    key: str  # keyboard key that toggles it
+    description: str
     fault: Fault
 
 
 THIRD = 1 / 3  # of the engines
-TROUBLES = {
-    trouble.name: trouble
-    for trouble in (
-        Trouble("slow", "s", "a third of the engines six times slower",
+NAMED_FAULTS = {
+    named.name: named
+    for named in (
+        NamedFault("slow", "s", "a third of the engines six times slower",
                 Engines(on="engine-*", share=THIRD, trouble="slow")),
-        Trouble("dead", "d", "a third of the engines dead, without a word to discovery",
+        NamedFault("dead", "d", "a third of the engines dead, without notice to discovery",
                 Engines(on="engine-*", share=THIRD, trouble="dead")),
-        Trouble("errors", "e", "a third of the engines answer 500",
+        NamedFault("errors", "e", "a third of the engines answer 500",
                 Engines(on="engine-*", share=THIRD, trouble="failing")),
-        Trouble("surge", "u", "three times the load", Surge(times=3)),
+        NamedFault("surge", "u", "three times the load", Surge(times=3)),
     )
 }  # fmt: skip
 
 
-class Troubles:
-    """Which are on."""
+class FaultSwitches:
+    """Switches named faults on and off."""
 
     def __init__(self, faults: Faults) -> None:
         self._faults = faults
-        self._numbers: dict[str, int] = {}
+        self._active: dict[str, int] = {}
 
     @property
     def on(self) -> list[str]:
-        return sorted(self._numbers)
+        return sorted(self._active)
 
-    async def turn(self, name: str, on: bool) -> None:
-        if on == (name in self._numbers):
+    async def switch(self, name: str, on: bool) -> None:
+        if on == (name in self._active):
             return
         if on:
-            self._numbers[name] = await self._faults.begin(TROUBLES[name].fault)
+            self._active[name] = await self._faults.begin(NAMED_FAULTS[name].fault)
         else:
-            await self._faults.heal(self._numbers.pop(name))
+            await self._faults.heal(self._active.pop(name))
--- a/sprucenotch/rig/wiring.py
+++ b/sprucenotch/rig/wiring.py
@@ -1,4 +1,4 @@
-"""The links of a stage: which there are, what carries each, and who is reached where."""
+"""The network of a run: its links, the relays that implement them, and the addresses to connect to."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from sprucenotch.rig.process import free_address
 
 
-class Wiring:
-    """Only links that a fault of the plan can hit have a relay; elsewhere processes meet directly."""
+class Network:
+    """Only links that a fault of the plan can affect have a relay; other processes connect directly."""
 
     def __init__(self, plan: Plan, rng: random.Random) -> None:
         self._rng = rng
@@ -27,9 +27,9 @@
                 for source, target in links(fault, plan.fleet):
                     self.links.setdefault((source, target), Link(source, target))
 
-    def join(self, source: str, target: str, dial: Callable[[], str]) -> str | None:
-        """Carry that link, if there is one, to wherever `dial` says at the time; where the source connects. A
-        relay that carried it before is closed."""
+    def open_relay(self, source: str, target: str, dial: Callable[[], str]) -> str | None:
+        """Open a relay for that link, if it has faults, and return the address to connect to, else None. The
+        relay connects to what `dial` returns at that time. An earlier relay of the link is closed."""
         if (source, target) not in self.links:
             return None
         if (old := self.relays.get((source, target))) is not None:
@@ -41,32 +41,32 @@
         relay.open()
         return relay.dial
 
-    def dial(self, source: str, target: str, straight: str) -> str:
-        """Where the source reaches the target: by the link's relay, else straight."""
+    def dial(self, source: str, target: str, direct: str) -> str:
+        """The address at which the source reaches the target: that of the relay, else `direct`."""
         relay = self.relays.get((source, target))
-        return straight if relay is None else relay.dial
+        return direct if relay is None else relay.dial
 
-    def reachable(self, target: str, on: bool) -> None:
-        """Whether a process is there: connections to a dead one are refused."""
-        for (_, known), relay in self.relays.items():
-            if known == target:
+    def set_reachable(self, target: str, on: bool) -> None:
+        """Accept or refuse connections to a process, depending on whether it runs."""
+        for (_, destination), relay in self.relays.items():
+            if destination == target:
                 if on:
                     relay.open()
                 else:
                     relay.refuse()
 
-    async def join_peers(self, sidecars: Sequence[str]) -> dict[str, str]:
-        """Links between all of them, for datagrams; where each listens."""
-        listens = {name: free_address() for name in sidecars}
+    async def connect_peers(self, sidecars: Sequence[str]) -> dict[str, str]:
+        """Create the datagram links between all sidecars and return the address at which each listens."""
+        listen_addresses = {name: free_address() for name in sidecars}
         for source in sidecars:
             for target in sidecars:
                 if source != target:
                     self.links.setdefault((source, target), Link(source, target))
         by_name = {f"{s}>{t}": link for (s, t), link in self.links.items()}
-        addresses = {name: address(dial) for name, dial in listens.items()}
+        addresses = {name: address(dial) for name, dial in listen_addresses.items()}
         self.peers = PeerRelays(addresses, by_name, self._rng.getrandbits(32))
         await self.peers.open()
-        return listens
+        return listen_addresses
 
     def close(self) -> None:
         for relay in self.relays.values():
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -46,7 +46,7 @@
     stage = Stage(plan.decode(LARGE.encode()), 1)
     parts = stage._parts()
     assert parts == Parts(2048, 10, 4096, 4096, 4096, True)
-    sidecars, engines = (2048 + 10) * 64 * MEGABYTE, 4096 * capacity.STAND_IN_MEMORY
+    sidecars, engines = (2048 + 10) * 64 * MEGABYTE, 4096 * capacity.FAKE_SERVER_MEMORY
     assert capacity.memory_needed(parts, 64 * MEGABYTE) == sidecars + engines
     assert capacity.memory_needed(parts, 1) == sidecars // 2 + engines  # none runs in less than 32 MB
     assert capacity.descriptors_needed(parts) == 4 * 2048 + 4096 + 4096 + 2048**2
@@ -55,8 +55,8 @@
 @pytest.mark.parametrize(
     ("machine", "wanting"),
     [
-        (AMPLE._replace(memory=640 * MEGABYTE - 1), "640 MB of memory, where 639 MB are free"),
-        (AMPLE._replace(descriptors=47), "48 descriptors, where 47 are granted"),
+        (AMPLE._replace(memory=640 * MEGABYTE - 1), "640 MB of memory, but 639 MB are available"),
+        (AMPLE._replace(descriptors=47), "48 descriptors, but 47 are allowed"),
         (AMPLE._replace(memory=640 * MEGABYTE, descriptors=48), ""),
         (AMPLE._replace(descriptors=-1), ""),  # as the kernel says that it sets none
     ],
@@ -64,7 +64,7 @@
 def test_a_plan_is_turned_down_from_the_first_byte_and_descriptor_that_are_wanting(
     machine: Machine, wanting: str
 ) -> None:
-    parts = Parts(sidecars=10, successors=0, stand_ins=0, engines=8, relays=0, peers=False)
+    parts = Parts(sidecars=10, successors=0, fake_servers=0, engines=8, relays=0, peers=False)
     if not wanting:
         capacity.check(parts, 64 * MEGABYTE, machine)
         return
@@ -111,7 +111,7 @@
 def test_the_demo_takes_any_number_and_says_what_the_machine_lacks(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(capacity, "this_machine", lambda: AMPLE._replace(memory=10**9))
     said = CliRunner().invoke(app, ["demo", "--sidecars", "1024", "--engines", "1024"])
-    assert "needs 65536 MB of memory, where 1000 MB are free for it" in said.output
+    assert "needs 65536 MB of memory, but 1000 MB are available" in said.output
 
 
 def test_this_machine_has_memory_and_descriptors() -> None:
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -22,7 +22,7 @@
 from sprucenotch.rig import plan
 from sprucenotch.rig.actions import Faults
 from sprucenotch.rig.stage import Stage
-from sprucenotch.rig.trouble import Troubles
+from sprucenotch.rig.trouble import FaultSwitches
 from sprucenotch.settings import SettingsError
 from tests.sidecar import SETTINGS, configuration, run
 
@@ -176,16 +176,16 @@
         shape = plan.Plan("", 1.0, 0.0, plan.Fleet(sidecars=1, engines=6), plan.Load(), plan.CLASSES)
         async with Stage(shape, seed=1) as stage:
             faults = Faults(stage)
-            troubles, others = Troubles(faults), Troubles(faults)
+            troubles, others = FaultSwitches(faults), FaultSwitches(faults)
             for turned in (troubles, others):
                 for name in ("slow", "dead", "surge"):
-                    await turned.turn(name, True)
+                    await turned.switch(name, True)
             engines = stage.engines.values()
             down, slow = sum(not e.up for e in engines), sum(e.slower > 1 for e in engines)
             assert 2 <= down <= 4 and 2 <= slow <= 4 and faults.load == 9.0
             for name in ("surge", "dead", "slow"):
-                await troubles.turn(name, False)
-                await others.turn(name, False)
+                await troubles.switch(name, False)
+                await others.switch(name, False)
             assert all(e.up and e.slower == 1 for e in engines) and faults.load == 1.0
 
     run(test())
