--- a/sprucenotch/cli/config.py
+++ b/sprucenotch/cli/config.py
@@ -1,4 +1,4 @@
-"""`sprucenotch config`: a configuration file checked, shown, compared, described; nothing is started."""
+"""`sprucenotch config`: checks, shows and compares configuration files; nothing is started."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import typer
 
-from sprucenotch.cli.output import AsJson, Exit, columns, fail, say_json
+from sprucenotch.cli.output import AsJson, Exit, columns, fail, print_json
 from sprucenotch.config import resolve, schema
 from sprucenotch.node.config import Config, ConfigError, parse, read, stand_in
 
@@ -17,53 +17,53 @@
 
 
 def load(path: Path) -> tuple[dict[str, Any], Config]:
-    """A file, and what a sidecar makes of it and of the environment. Ends with one line where it cannot."""
+    """Read a file and parse it with the environment, as a sidecar does. Exits if the file is invalid."""
     try:
-        told = read(str(path))
-        whole = dict(told)
-        stand_in(whole, os.environ)
-        return told, parse(whole)
-    except ConfigError as problem:
-        fail(Exit.BAD_INPUT, f"{path}: {problem}")
+        raw = read(str(path))
+        effective = dict(raw)
+        stand_in(effective, os.environ)
+        return raw, parse(effective)
+    except ConfigError as error:
+        fail(Exit.BAD_INPUT, f"{path}: {error}")
 
 
 @app.command()
 def check(file: File) -> None:
-    """Say whether a sidecar would start with this file, and all that is wrong in it if not."""
+    """Say whether a sidecar would start with this file, and list all errors if not."""
     _, config = load(file)
     classes = ", ".join(c.name for c in config.settings.classes)
-    print(f"{file}: fine; classes {classes}; {len(config.known.hosts)} engines known")
+    print(f"{file}: valid; classes {classes}; {len(config.known.hosts)} engines known")
 
 
 @app.command()
 def show(file: File, as_json: AsJson = False) -> None:
-    """Show what is in force with this file: every figure, and where it came from."""
-    told, _ = load(file)
-    rows = list(resolve.rows(told, os.environ))
+    """Show the effective configuration with this file: every value and its source."""
+    raw, _ = load(file)
+    rows = list(resolve.rows(raw, os.environ))
     if as_json:
-        say_json({row.path: {"value": row.value, "source": row.source} for row in rows})
+        print_json({row.path: {"value": row.value, "source": row.source} for row in rows})
     else:
-        print(columns([(row.path, shown(row.value), row.source) for row in rows]))
+        print(columns([(row.path, formatted(row.value), row.source) for row in rows]))
 
 
 @app.command()
 def diff(old: File, new: File, as_json: AsJson = False) -> None:
-    """Show what a SIGHUP with NEW in the place of OLD would change, and whether it would be taken."""
+    """Show what a reload (SIGHUP) from OLD to NEW would change, and whether it would be accepted."""
     before, in_force = load(old)
-    after, fresh = load(new)
+    after, new_config = load(new)
     changes = resolve.changes(before, after, os.environ)
     try:
-        fresh.check_complete(in_force)
+        new_config.check_complete(in_force)
         refused = ""
-    except ConfigError as problem:
-        refused = str(problem)
+    except ConfigError as error:
+        refused = str(error)
     if as_json:
-        say_json({"taken": not refused, "why_not": refused, "changes": [c._asdict() for c in changes]})
+        print_json({"taken": not refused, "why_not": refused, "changes": [c._asdict() for c in changes]})
     else:
         for change in changes:
             when = "" if change.at_sighup else "  (not before the next start)"
-            print(f"{change.path}: {shown(change.old)} -> {shown(change.new)}{when}")
-        print(f"SIGHUP would turn it down: {refused}" if refused else "SIGHUP would take it"
+            print(f"{change.path}: {formatted(change.old)} -> {formatted(change.new)}{when}")
+        print(f"SIGHUP would reject it: {refused}" if refused else "SIGHUP would apply it"
               if changes else "no difference")  # fmt: skip
     if refused:
         raise typer.Exit(Exit.NO)
@@ -71,13 +71,16 @@
 
 @app.command(name="schema")
 def print_schema(
-    toml: Annotated[bool, typer.Option("--toml", help="Of the TOML form instead of the platform's.")] = False,
+    toml: Annotated[
+        bool, typer.Option("--toml", help="Of the TOML format instead of the platform's JSON.")
+    ] = False,
 ) -> None:
     """Print the JSON Schema of a configuration file."""
-    say_json(schema.by_hand() if toml else schema.platform())
+    print_json(schema.by_hand() if toml else schema.platform())
 
 
-def shown(value: Any) -> str:
+def formatted(value: Any) -> str:
+    """A value as it is printed in a table."""
     match value:
         case None | ():
             return "-"
--- a/sprucenotch/cli/demo.py
+++ b/sprucenotch/cli/demo.py
@@ -1,4 +1,4 @@
-"""`sprucenotch demo`: a deployment on loopback, at work before one's eyes."""
+"""`sprucenotch demo`: runs a small deployment on loopback and shows live figures."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from rich.text import Text
 
 from sprucenotch.cli.figures import Reading, read
-from sprucenotch.cli.output import AsJson, Exit, fail, say_json
+from sprucenotch.cli.output import AsJson, Exit, fail, print_json
 from sprucenotch.rig.plan import CLASSES, Fleet, Load, Plan, Step
 from sprucenotch.rig.play import LATE_MOST, Play, Second
 from sprucenotch.rig.process import RigError
@@ -29,22 +29,24 @@
 from sprucenotch.rig.trouble import NAMED_FAULTS, FaultSwitches
 
 KEYS = {trouble.key: name for name, trouble in NAMED_FAULTS.items()}
-BAR = 7  # the most that an engine holds: one at work and six that wait
+BAR = 7  # width: the most requests that an engine holds, one running and six queued
 
 
 def demo(
     seconds: Annotated[float, typer.Option("--for", help="Stop after so many seconds.", min=3, max=600)] = 30,
     trouble: Annotated[
         str,
-        typer.Option(help=f"In the middle third: {', '.join(NAMED_FAULTS)}. Also by its key at any time."),
+        typer.Option(help=f"In the middle third: {', '.join(NAMED_FAULTS)}. Its key toggles it at any time."),
     ] = "",
     sidecars: Annotated[int, typer.Option(min=1)] = 2,
     engines: Annotated[int, typer.Option(min=3)] = 6,
-    load: Annotated[float, typer.Option(help="Of what the engines can do.", min=0.05, max=3)] = 0.6,
-    seed: Annotated[int, typer.Option(help="Of arrivals and work.")] = 1,
+    load: Annotated[
+        float, typer.Option(help="Load, as a share of the engines' capacity.", min=0.05, max=3)
+    ] = 0.6,
+    seed: Annotated[int, typer.Option(help="Of arrivals and service times.")] = 1,
     as_json: AsJson = False,
 ) -> None:
-    """Start engines, discovery, real sidecars and clients on loopback; show how they do; stop by itself."""
+    """Run engines, discovery, real sidecars and clients on loopback for a while, and show live figures."""
     if trouble and trouble not in NAMED_FAULTS:
         fail(Exit.BAD_INPUT, f"no such trouble: {trouble!r}; there are {', '.join(NAMED_FAULTS)}")
     steps = (Step(seconds / 3, NAMED_FAULTS[trouble].fault, seconds / 3),) if trouble else ()
@@ -52,14 +54,14 @@
         trouble, seconds, 0.0, Fleet(sidecars=sidecars, engines=engines), Load(share=load), CLASSES, steps
     )
     try:
-        day = uvloop.run(_play(plan, seed, live=not as_json and sys.stdout.isatty(), quiet=as_json))
+        run = uvloop.run(_play(plan, seed, live=not as_json and sys.stdout.isatty(), quiet=as_json))
     except (RigError, OSError) as problem:
         fail(Exit.BAD_INPUT, str(problem))
     if as_json:
-        say_json(_summary(day))
+        print_json(_summary(run))
     else:
-        print(_closing(day))
-    if day.interrupted:
+        print(_report(run))
+    if run.interrupted:
         raise typer.Exit(Exit.INTERRUPTED)
 
 
@@ -68,54 +70,54 @@
 
     def each_second(second: Second) -> None:
         if live:
-            task = asyncio.get_running_loop().create_task(look(second))
+            task = asyncio.get_running_loop().create_task(refresh(second))
             pending.add(task)
             task.add_done_callback(pending.discard)
         elif not quiet:
-            print(_line(day, second), flush=True)
+            print(_line(run, second), flush=True)
 
-    day = Play(plan, seed, each_second)
+    run = Play(plan, seed, each_second)
     for number in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(number, day.interrupt)
+        asyncio.get_running_loop().add_signal_handler(number, run.interrupt)
     shown = Live(Text("starting ..."), console=Console(), auto_refresh=False)
     readings: list[Reading | None] = [None] * plan.fleet.sidecars
-    troubles = FaultSwitches(day.faults)
+    switches = FaultSwitches(run.faults)
 
-    async def look(second: Second) -> None:
-        for number, sidecar in enumerate(day.stage.sidecars.values()):
-            with contextlib.suppress(OSError, ValueError):  # the one before stays in view
+    async def refresh(second: Second) -> None:
+        for number, sidecar in enumerate(run.stage.sidecars.values()):
+            with contextlib.suppress(OSError, ValueError):  # keep showing the last reading
                 readings[number] = await asyncio.to_thread(read, sidecar.mgmt)
-        shown.update(view(day, second, readings, troubles.on), refresh=True)
+        shown.update(view(run, second, readings, switches.on), refresh=True)
 
     with contextlib.ExitStack() as screen:
         if live:
             screen.enter_context(shown)
-            screen.enter_context(_keys(day, troubles))
-        await day.run()
+            screen.enter_context(_keys(run, switches))
+        await run.run()
         await asyncio.gather(*pending)
-    return day
+    return run
 
 
 @contextlib.contextmanager
-def _keys(day: Play, troubles: FaultSwitches) -> Iterator[None]:
-    """Keys turn troubles on and off; q ends the day."""
+def _keys(run: Play, switches: FaultSwitches) -> Iterator[None]:
+    """Let keys switch faults on and off, and q stop the demo."""
     if not sys.stdin.isatty():
         yield
         return
     pending: set[asyncio.Task[None]] = set()
     loop, before = asyncio.get_running_loop(), termios.tcgetattr(sys.stdin)
 
-    def pressed() -> None:
+    def on_key() -> None:
         key = sys.stdin.read(1)
         if key == "q":
-            day.stopped.set()
+            run.stopped.set()
         elif (name := KEYS.get(key)) is not None:
-            task = loop.create_task(troubles.switch(name, name not in troubles.on))
+            task = loop.create_task(switches.switch(name, name not in switches.on))
             pending.add(task)
             task.add_done_callback(pending.discard)
 
     tty.setcbreak(sys.stdin)
-    loop.add_reader(sys.stdin, pressed)
+    loop.add_reader(sys.stdin, on_key)
     try:
         yield
     finally:
@@ -124,7 +126,7 @@
 
 
 def _shares(ended: Counter[tuple[str, str]], cls: str | None = None) -> tuple[int, dict[str, float]]:
-    """How many ended, and the share of each outcome."""
+    """The number of requests that ended, and the share of each outcome."""
     counts = Counter[str]()
     for (name, outcome), count in ended.items():
         if cls in (None, name):
@@ -133,51 +135,53 @@
     return total, {outcome: counts[outcome] / max(1, total) for outcome in OUTCOMES}
 
 
-def _line(day: Play, second: Second) -> str:
-    asked, shares = _shares(second.ended)
-    told = ", ".join(f"{outcome} {share:.0%}" for outcome, share in shares.items())
-    trouble = f"; trouble: {day.plan.title}" if _planned(day, second) else ""
-    return f"{second.at:3.0f} s  {asked:4d} requests: {told}{trouble}"
+def _line(run: Play, second: Second) -> str:
+    requests, shares = _shares(second.ended)
+    outcomes = ", ".join(f"{outcome} {share:.0%}" for outcome, share in shares.items())
+    trouble = f"; trouble: {run.plan.title}" if _planned(run, second) else ""
+    return f"{second.at:3.0f} s  {requests:4d} requests: {outcomes}{trouble}"
 
 
-def _planned(day: Play, second: Second) -> bool:
-    """Whether the trouble that was asked for lay over most of this second."""
-    return any(step.at < second.at - 0.5 < step.at + step.lasts for step in day.plan.steps)
+def _planned(run: Play, second: Second) -> bool:
+    """Whether the fault of the --trouble option was active for most of this second."""
+    return any(step.at < second.at - 0.5 < step.at + step.lasts for step in run.plan.steps)
 
 
-def _summary(day: Play) -> dict[str, Any]:
+def _summary(run: Play) -> dict[str, Any]:
     return {
-        "classes": {cls.name: _counts(day, cls.name) for cls in CLASSES}, "load_late_s": round(day.late, 3),
-        "held_back": day.load.held_back if day.load is not None else 0, "seed": day.seed,
-        "trouble": day.plan.title,
+        "classes": {cls.name: _counts(run, cls.name) for cls in CLASSES}, "load_late_s": round(run.late, 3),
+        "held_back": run.load.held_back if run.load is not None else 0, "seed": run.seed,
+        "trouble": run.plan.title,
     }  # fmt: skip
 
 
-def _counts(day: Play, cls: str) -> dict[str, int]:
-    return {outcome: day.total[cls, outcome] for outcome in OUTCOMES}
+def _counts(run: Play, cls: str) -> dict[str, int]:
+    return {outcome: run.total[cls, outcome] for outcome in OUTCOMES}
 
 
-def _closing(day: Play) -> str:
-    lines = ["all in all:"]
+def _report(run: Play) -> str:
+    lines = ["in total:"]
     for kind in CLASSES:
-        asked, shares = _shares(day.total, kind.name)
-        told = ", ".join(f"{outcome} {share:.1%}" for outcome, share in shares.items())
-        lines.append(f"  {kind.name}: {asked} requests, {told}")
-    if day.late > LATE_MOST:
-        lines.append(f"  this machine was too slow for the load: it lagged by up to {day.late:.2f} s")
-    return "\n".join((*lines, "everything that was started is stopped"))
+        requests, shares = _shares(run.total, kind.name)
+        outcomes = ", ".join(f"{outcome} {share:.1%}" for outcome, share in shares.items())
+        lines.append(f"  {kind.name}: {requests} requests, {outcomes}")
+    if run.late > LATE_MOST:
+        lines.append(
+            f"  this machine was too slow for the load: requests were sent up to {run.late:.2f} s late"
+        )
+    return "\n".join((*lines, "all processes are stopped"))
 
 
-def view(day: Play, second: Second, readings: list[Reading | None], troubles: list[str]) -> RenderableType:
-    planned = [day.plan.title] if _planned(day, second) else []
-    on = ", ".join(dict.fromkeys((*troubles, *planned))) or "none"
+def view(run: Play, second: Second, readings: list[Reading | None], active: list[str]) -> RenderableType:
+    planned = [run.plan.title] if _planned(run, second) else []
+    on = ", ".join(dict.fromkeys((*active, *planned))) or "none"
     keys = "  ".join(f"[{trouble.key}] {name}" for name, trouble in NAMED_FAULTS.items())
     head = Text.assemble(
-        ("sprucenotch", "bold"), f"  {second.at:.0f} of {day.plan.length:.0f} s, ",
-        f"{day.plan.rate * day.faults.load:.0f} requests a second; trouble: ",
+        ("sprucenotch", "bold"), f"  {second.at:.0f} of {run.plan.length:.0f} s, ",
+        f"{run.plan.rate * run.faults.load:.0f} requests a second; trouble: ",
         (on, "green" if on == "none" else "bold red"), f"\n{keys}  [q] quit",
     )  # fmt: skip
-    return Group(head, _service(second), _sidecars(second, readings), _engines(day, second))
+    return Group(head, _service(second), _sidecars(second, readings), _engines(run, second))
 
 
 def _table(title: str, *names: str) -> Table:
@@ -188,11 +192,11 @@
 
 
 def _service(second: Second) -> Table:
-    table = _table("service, as the clients saw it in this second", "class", "ended", *OUTCOMES)
+    table = _table("service in this second, as seen by the clients", "class", "ended", *OUTCOMES)
     for kind in CLASSES:
-        asked, shares = _shares(second.ended, kind.name)
+        requests, shares = _shares(second.ended, kind.name)
         cells = [Text(f"{shares[o]:.0%}", _colour(o, shares[o])) for o in OUTCOMES]
-        table.add_row(kind.name, str(asked), *cells)
+        table.add_row(kind.name, str(requests), *cells)
     return table
 
 
@@ -217,10 +221,10 @@
     return table
 
 
-def _engines(day: Play, second: Second) -> Table:
+def _engines(run: Play, second: Second) -> Table:
     table = _table("engines", "engine", "zone", "state", "served", "holds")
     table.columns[-1].justify = "left"
-    for engine in day.stage.engines.values():
+    for engine in run.stage.engines.values():
         state = _state(engine)
         holds = Text("█" * engine.busy, "cyan") + Text("█" * (engine.held - engine.busy), "yellow")
         holds += Text("·" * max(0, BAR - engine.held), "dim")
--- a/sprucenotch/cli/figures.py
+++ b/sprucenotch/cli/figures.py
@@ -1,4 +1,4 @@
-"""A sidecar's management listener, read: whether it is ready, its figures, its metrics."""
+"""Reads readiness, telemetry and metrics from the management listener of a sidecar."""
 
 from __future__ import annotations
 
@@ -14,17 +14,19 @@
 
 
 class Reading(NamedTuple):
-    at: float  # the monotonic clock
+    """What the management listener returned at one time."""
+
+    at: float  # on the monotonic clock
     ready: bool
     telemetry: dict[str, Any]
-    samples: dict[tuple[str, Labels], float]  # by name without its prefix, and the values of its labels
+    samples: dict[tuple[str, Labels], float]  # by name without the prefix, and label values
 
     def gauge(self, name: str) -> float:
         return self.samples.get((name, ()), 0.0)
 
     def quantile(self, cls: str, share: float) -> float | None:
-        """Seconds within which that share of the served requests was answered, by the bucket that holds it;
-        None while there are none."""
+        """The upper bound of the histogram bucket that holds this quantile of the latency, in seconds; None
+        without requests."""
         bounds = sorted(
             (float(labels[1]), count)
             for (name, labels), count in self.samples.items()
@@ -35,18 +37,18 @@
 
 
 def read(address: str) -> Reading:
-    """Raises OSError where nobody answers, ValueError where it is no sidecar that does."""
+    """Read a sidecar. Raises OSError if it does not answer, ValueError if it is not a sidecar."""
     ready, _ = call(address, "/api/ready")
-    status, figures = call(address, "/api/telemetry")
+    status, body = call(address, "/api/telemetry")
     if status != 200:
-        raise ValueError(f"no figures there: status {status}")
+        raise ValueError(f"no telemetry there: status {status}")
     try:
-        telemetry = msgspec.json.decode(figures, type=dict[str, Any])
+        telemetry = msgspec.json.decode(body, type=dict[str, Any])
     except msgspec.DecodeError:
-        raise ValueError("what answers there is no sidecar") from None
+        raise ValueError("the server there is not a sidecar") from None
     status, metrics = call(address, "/metrics")
     samples = {}
-    if status == 200:  # an earlier version has none
+    if status == 200:  # earlier versions have no metrics
         for family in text_string_to_metric_families(metrics.decode()):  # type: ignore[no-untyped-call]
             for sample in family.samples:
                 labels = tuple(sample.labels.values())
--- a/sprucenotch/cli/hunt.py
+++ b/sprucenotch/cli/hunt.py
@@ -1,4 +1,4 @@
-"""`sprucenotch rig hunt`: faults that overlap, drawn by seed, and what they break made smaller."""
+"""`sprucenotch rig hunt`: plays random schedules of overlapping faults, minimises those that break a rule."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import uvloop
 
 from sprucenotch.cli.output import Exit, fail
-from sprucenotch.cli.rig import Jobs, Seeds, StoreFile, broken, progress, seeds_of
+from sprucenotch.cli.rig import Jobs, Seeds, StoreFile, exit_with, parse_seeds, progress
 from sprucenotch.config import units
 from sprucenotch.rig.hunt import campaign
 from sprucenotch.rig.hunt.campaign import Campaign, Find, Total
@@ -17,105 +17,106 @@
 from sprucenotch.rig.sweep import Failed, Job
 
 MIN_LENGTH, MAX_LENGTH = 8.0, 600.0  # seconds of a run
-LINES = 25  # of the time line that a find shows
+MAX_TIME_LINES = 25  # of the time line of a find that are printed
 
 
 def hunt(
     seeds: Seeds = "1..20",
-    lasts: Annotated[str, typer.Option("--for", help="Of a run, such as 20s.")] = "20s",
+    lasts: Annotated[str, typer.Option("--for", help="Length of a run, such as 20s.")] = "20s",
     store: StoreFile = Path("hunt.sqlite"),
-    folder: Annotated[Path, typer.Option(help="Where the plans of the runs are left.")] = Path("found"),
+    folder: Annotated[Path, typer.Option(help="Where to write the plans of the runs.")] = Path("found"),
     jobs: Jobs = 4,
     command: Annotated[
-        str, typer.Option(help="That starts a sidecar, in place of this tree's own; for planted faults.")
+        str, typer.Option(help="Command that starts a sidecar instead of this tree; for planted faults.")
     ] = "",
-    smaller: Annotated[bool, typer.Option(help="Make the first schedule that breaks a rule smaller.")] = True,
+    smaller: Annotated[bool, typer.Option(help="Minimise the first schedule that breaks each rule.")] = True,
     trace: Annotated[
-        bool, typer.Option("--trace", help="Have sidecars log each attempt, and match it with the servers.")
+        bool, typer.Option("--trace", help="Make sidecars log each attempt, and compare with the servers.")
     ] = False,
-    again: Annotated[int, typer.Option(help="Play a smaller one again so often.", min=1, max=50)] = 5,
+    again: Annotated[int, typer.Option(help="How often to repeat a minimised schedule.", min=1, max=50)] = 5,
 ) -> None:
-    """Play runs with faults that overlap, drawn by seed, and tell what they broke. Runs that are in the store
-    are not done again; Ctrl-C keeps what is done. Exit code 1 where something was broken, 4 where nothing was
-    but a run of the testbed itself crashed."""
+    """Play runs with overlapping faults drawn by seed, and report which rules they broke. Runs that are in
+    the store are not repeated; Ctrl-C keeps finished runs. Exit code 1 if a rule was broken, 4 if none was
+    but the testbed itself crashed in a run."""
     length = units.parse(lasts, units.NANOSECONDS)
     if length is None or not MIN_LENGTH <= length / 1e9 <= MAX_LENGTH:
-        fail(Exit.BAD_INPUT, f"--for is {lasts!r}, where a time from 8s to 600s is allowed")
-    wanted = seeds_of(seeds)
-    held = Campaign(store, folder, length / 1e9, jobs, command, trace)
+        fail(Exit.BAD_INPUT, f"--for is {lasts!r}, but must be a time from 8s to 600s")
+    wanted = parse_seeds(seeds)
+    hunt_campaign = Campaign(store, folder, length / 1e9, jobs, command, trace)
     interrupted = False
     failed: list[Failed] = []
     try:
-        failed = _play(held, wanted)
+        failed = _play(hunt_campaign, wanted)
     except KeyboardInterrupt:
         interrupted = True
     except RigError as problem:
-        broken(problem)
-    rows = held.rows(wanted)
+        exit_with(problem)
+    rows = hunt_campaign.rows(wanted)
     found = campaign.finds(rows, failed)
     for find in found:
-        print(told(find, lasts, command, folder))
-    crashes = [one for one in failed if one.crashed]
+        print(format_find(find, lasts, command, folder))
+    crashes = [failure for failure in failed if failure.crashed]
     for crash in crashes:
         print(f"CRASHED, proves nothing: seed {crash.job.seed}: {crash.said}")
         print(f"  its trace and logs: {folder}/failed")
-    print(summed(campaign.total(rows, failed), found))
+    print(summary(campaign.total(rows, failed), found))
     if interrupted:
-        fail(Exit.INTERRUPTED, f"interrupted; what was done is in {store}, and the same command goes on")
+        fail(Exit.INTERRUPTED, f"interrupted; finished runs are in {store}, and the same command continues")
     if smaller:
         for find in {find.rule: find for find in reversed(found)}.values():
-            _make_smaller(held, find, again, folder)
+            _minimise(hunt_campaign, find, again, folder)
     raise typer.Exit(Exit.NO if found else Exit.LATE if crashes else Exit.FINE)
 
 
-def _play(held: Campaign, wanted: list[int]) -> list[Failed]:
+def _play(hunt_campaign: Campaign, wanted: list[int]) -> list[Failed]:
     with progress() as bar:
         task = bar.add_task("runs", total=len(wanted))
 
         def each(job: Job) -> None:
             bar.advance(task)
 
-        return uvloop.run(held.play(wanted, each))
+        return uvloop.run(hunt_campaign.play(wanted, each))
 
 
-def told(find: Find, lasts: str, command: str, folder: Path) -> str:
-    """A find as it is printed: rule, request, time line over all processes, and how to play it again."""
+def format_find(find: Find, lasts: str, command: str, folder: Path) -> str:
+    """Format a find: rule, request, time line over all processes, and the command that repeats it."""
     started = f' --command "{command}"' if command else ""
     lines = [f"BROKEN {find.rule}, seed {find.seed}, {find.times} times: {find.first.said}"]
-    lines += [f"    {line}" for line in find.first.time_line[:LINES]]
-    lines.append(f"  the schedule: {folder}/hunt-{find.seed}.toml; again: sprucenotch rig hunt "
+    lines += [f"    {line}" for line in find.first.time_line[:MAX_TIME_LINES]]
+    lines.append(f"  schedule: {folder}/hunt-{find.seed}.toml; repeat with: sprucenotch rig hunt "
                  f"--seeds {find.seed} --for {lasts}{started}")  # fmt: skip
     return "\n".join(lines)
 
 
-def summed(total: Total, found: list[Find]) -> str:
+def summary(total: Total, found: list[Find]) -> str:
+    """Format the totals of all runs."""
     faults = ", ".join(f"{name} {count}" for name, count in total.faults.most_common())
     lines = [
-        f"{total.runs} runs of {total.seconds / 60:.1f} minutes in all, {total.late} more did not count; "
+        f"{total.runs} runs of {total.seconds / 60:.1f} minutes in all, {total.late} more were invalid; "
         f"{total.requests} requests; {len(found)} finds",
-        *(f"  not played to the end, {reason}: {count}" for reason, count in total.not_played.items()),
+        *(f"  not completed, {reason}: {count}" for reason, count in total.not_played.items()),
         f"  faults: {faults}",
     ]
     for rule, count in total.judged.most_common():
         excused = total.excused[rule]
         lines.append(f"  {rule}: {count} judged, {excused} excused")
-    lines += [f"  a hole: {rule} is excused in over a fifth" for rule in total.holes()]
+    lines += [f"  weak check: {rule} is excused in over a fifth of the cases" for rule in total.holes()]
     return "\n".join(lines)
 
 
-def _make_smaller(held: Campaign, find: Find, again: int, folder: Path) -> None:
+def _minimise(hunt_campaign: Campaign, find: Find, again: int, folder: Path) -> None:
     try:
-        shrunk = uvloop.run(held.shrink(find.seed, find.rule))
-        hits = uvloop.run(held.rate(shrunk.schedule, find.rule, again))
+        shrunk = uvloop.run(hunt_campaign.shrink(find.seed, find.rule))
+        hits = uvloop.run(hunt_campaign.rate(shrunk.schedule, find.rule, again))
     except KeyboardInterrupt:
-        fail(Exit.INTERRUPTED, "interrupted while a schedule was made smaller")
+        fail(Exit.INTERRUPTED, "interrupted while a schedule was minimised")
     name = f"smaller-{find.seed}-{find.rule.replace(' ', '-')}"
     path = folder / f"{name}.toml"
     path.write_text(shrunk.schedule.text())
     fleet = shrunk.schedule.fleet
     print(
-        f"smaller, of {find.rule}, seed {find.seed}: {len(shrunk.schedule.steps)} faults, "
+        f"minimised, {find.rule}, seed {find.seed}: {len(shrunk.schedule.steps)} faults, "
         f"{fleet['sidecars']} "
-        f"sidecars, {shrunk.schedule.length:g} s, after {shrunk.plays} plays; broken in {hits} of {again}: "
+        f"sidecars, {shrunk.schedule.length:g} s, after {shrunk.plays} runs; broken in {hits} of {again}: "
         f"sprucenotch rig run {path} --seed {find.seed}"
     )
--- a/sprucenotch/cli/main.py
+++ b/sprucenotch/cli/main.py
@@ -1,4 +1,4 @@
-"""`sprucenotch`: the one program that operators type. Every command is a thin cover over its subsystem."""
+"""The `sprucenotch` command. Each subcommand is a thin wrapper around its subsystem."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 app = typer.Typer(
     name="sprucenotch", no_args_is_help=True, rich_markup_mode=None, pretty_exceptions_enable=False,
-    help="A load balancer that runs as a sidecar beside each client. Exit codes: 0 fine, 1 the answer is no, "
-    "2 bad input, 3 an address cannot be used, 4 the rig was late, 5 a process of a run ended, 6 a store "
-    "cannot be used, 7 a revision is not to be had, 130 interrupted.",
+    help="A load balancer that runs as a sidecar beside each client. Exit codes: 0 success, 1 negative "
+    "result, 2 bad input, 3 address unusable or no answer, 4 run invalid as the testbed was too slow, "
+    "5 a process of a run ended, 6 store unusable, 7 revision unavailable, 130 interrupted.",
 )  # fmt: skip
 app.add_typer(config.app, name="config")
 rig.app.command()(service)
@@ -50,28 +50,28 @@
 @app.command()
 def serve(
     file: Annotated[
-        Path | None, typer.Argument(help="Its configuration; without one, what PROXY_CONFIG names.")
+        Path | None, typer.Argument(help="Configuration file; default: the one that PROXY_CONFIG names.")
     ] = None,
 ) -> None:
-    """Run one sidecar in the foreground, until SIGTERM. SIGHUP takes the file up again."""
+    """Run one sidecar in the foreground until SIGTERM. SIGHUP reloads the file."""
     if file is not None:
-        config.load(file)  # whatever is wrong is told before anything starts
+        config.load(file)  # report errors before anything starts
         os.environ["PROXY_CONFIG"] = str(file.resolve())
     elif not os.environ.get("PROXY_CONFIG"):
-        fail(Exit.BAD_INPUT, "name a configuration file, here or in PROXY_CONFIG")
-    # In place of this process, so that it holds nothing that only the command line needs.
+        fail(Exit.BAD_INPUT, "name a configuration file, as an argument or in PROXY_CONFIG")
+    # Replace this process, so that the sidecar does not keep modules that only the command line needs.
     os.execv(sys.executable, (sys.executable, "-m", "sprucenotch"))
 
 
 def main() -> int:
-    """The console script. Returns its exit code."""
+    """Entry point of the console script. Returns the exit code."""
     try:
         return int(app(standalone_mode=False) or Exit.FINE)
     except typer.Abort:
         return int(Exit.INTERRUPTED)
-    except Exception as problem:
-        usage = getattr(problem, "format_message", None)  # click's own errors say what was typed wrong
-        if usage is None:
+    except Exception as error:
+        format_message = getattr(error, "format_message", None)  # usage errors of click
+        if format_message is None:
             raise
-        print(f"sprucenotch: {usage()}", file=sys.stderr)
+        print(f"sprucenotch: {format_message()}", file=sys.stderr)
         return int(Exit.BAD_INPUT)
--- a/sprucenotch/cli/rig.py
+++ b/sprucenotch/cli/rig.py
@@ -1,4 +1,4 @@
-"""`sprucenotch rig`: plans with faults played over processes, kept, compared and reported."""
+"""`sprucenotch rig`: plays plans with faults on real processes, and stores, compares and reports the runs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 import uvloop
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from sprucenotch.cli.output import AsJson, Exit, columns, fail, say_json
+from sprucenotch.cli.output import AsJson, Exit, columns, fail, print_json
 from sprucenotch.rig import plan as plans
 from sprucenotch.rig import revision as revisions
 from sprucenotch.rig import soak as soaks
@@ -31,30 +31,31 @@
 from sprucenotch.settings import SettingsError
 
 app = typer.Typer(
-    no_args_is_help=True, help="Several processes with faults between them, and what they broke."
+    no_args_is_help=True, help="Testbed: run several processes with faults and check what breaks."
 )
 CODES: dict[type[RigError], Exit] = {
     ProcessError: Exit.PROCESS, AddressError: Exit.ADDRESS, StoreError: Exit.STORE,
     RevisionError: Exit.REVISION,
 }  # fmt: skip
 SCENARIOS = Path(str(resources.files("sprucenotch.rig") / "scenarios"))
-LAB = "pip install 'sprucenotch[lab]' brings it"
+LAB = "install it with pip install 'sprucenotch[lab]'"
 
 PlanName: TypeAlias = Annotated[str, typer.Argument(help="A file, or the name of a shipped scenario.")]
 Seeds: TypeAlias = Annotated[str, typer.Option(help="Such as 1..50, or 3,7,11.")]
-StoreFile: TypeAlias = Annotated[Path, typer.Option("--store", help="Where runs are kept.")]
+StoreFile: TypeAlias = Annotated[Path, typer.Option("--store", help="Database of the runs.")]
 Jobs: TypeAlias = Annotated[
-    int, typer.Option(help="Runs side by side. Each wants two cores or three.", min=1, max=16)
+    int, typer.Option(help="Parallel runs. Each needs two to three cores.", min=1, max=16)
 ]
 
 
 def find(name: str) -> Path:
-    """A plan by its file or the name that it is shipped under."""
+    """Find a plan by file name or by the name of a shipped scenario."""
     shipped = SCENARIOS / f"{name}.toml"
     return shipped if shipped.is_file() and not Path(name).is_file() else Path(name)
 
 
 def load(name: str) -> plans.Plan:
+    """Load a plan. Exits with error lines if it is missing or invalid."""
     path = find(name)
     try:
         return plans.load(path)
@@ -66,36 +67,38 @@
         fail(Exit.BAD_INPUT, f"{name} is neither a file nor a shipped scenario: {problem.strerror}")
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
+    """Parse a list of seeds and ranges. Exits with an error line if it is malformed."""
     found: list[int] = []
     for part in text.split(","):
         first, dots, last = part.strip().partition("..")
         if not first.isdecimal() or (dots and not last.isdecimal()):
-            fail(Exit.BAD_INPUT, f"seeds are {text!r}, where such as 1..50 or 3,7,11 is allowed")
+            fail(Exit.BAD_INPUT, f"seeds are {text!r}, but must have a form such as 1..50 or 3,7,11")
         found += range(int(first), int(last if dots else first) + 1)
     return found
 
 
-def broken(problem: RigError | OSError) -> NoReturn:
+def exit_with(problem: RigError | OSError) -> NoReturn:
+    """Exit with the code of that error and its message."""
     code = next((code for kind, code in CODES.items() if isinstance(problem, kind)), Exit.BAD_INPUT)
     fail(code, str(problem))
 
 
 @app.command("plans")
 def list_plans() -> None:
-    """The shipped scenarios."""
+    """List the shipped scenarios."""
     print(columns([(path.stem, plans.load(path).title) for path in sorted(SCENARIOS.glob("*.toml"))]))
 
 
 @app.command()
 def check(plan: PlanName) -> None:
-    """Say whether a plan can be played, else everything that is wrong in it."""
+    """Check a plan and list all errors in it."""
     told = load(plan)
-    what = "by seed" if told.nemesis is not None else f"{len(told.steps)} at times"
+    faults = "drawn by seed" if told.nemesis is not None else f"{len(told.steps)} scheduled"
     fleet = told.fleet
     print(
         f"{told.title}: {told.length:g} s, {fleet.sidecars} sidecars, {fleet.engines} engines, "
-        f"{told.rate:.0f} requests a second, faults {what}"
+        f"{told.rate:.0f} requests a second, faults {faults}"
     )
 
 
@@ -103,56 +106,59 @@
 def run(
     plan: PlanName,
     seed: Annotated[int, typer.Option(min=0)] = 1,
-    store: Annotated[Path | None, typer.Option(help="Keep the run there.")] = None,
-    revision: Annotated[str, typer.Option(help="Of the sidecars; this tree without it.")] = "",
+    store: Annotated[Path | None, typer.Option(help="Store the run in this database.")] = None,
+    revision: Annotated[str, typer.Option(help="Revision of the sidecars; default: this tree.")] = "",
     command: Annotated[
-        str, typer.Option(help="That starts a sidecar, in place of this tree's own; for planted faults.")
+        str, typer.Option(help="Command that starts a sidecar instead of this tree; for planted faults.")
     ] = "",
     keep: Annotated[
-        Path | None, typer.Option(help="Leave the sidecars' files and logs in this folder.")
+        Path | None, typer.Option(help="Keep the sidecars' files and logs in this folder.")
     ] = None,
-    quiet: Annotated[bool, typer.Option("--quiet", help="Only complaints.")] = False,
+    quiet: Annotated[bool, typer.Option("--quiet", help="Print only errors.")] = False,
     as_json: AsJson = False,
 ) -> None:
-    """Play a plan once. Exit code 1 where a promise was broken, 4 where the rig could not keep up."""
+    """Play a plan once. Exit code 1 if a rule was broken, 4 if the testbed was too slow."""
     told = load(plan)
     if revision:
         told = told._replace(fleet=msgspec.structs.replace(told.fleet, revision=revision))
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
     silent = quiet or as_json
-    programs = started_by(command, told.fleet.sidecars) if command else None
-    play = Play(told, seed, (lambda second: None) if silent else _say_second, folder=keep, programs=programs)
+    programs = programs_for(command, told.fleet.sidecars) if command else None
+    play = Play(
+        told, seed, (lambda second: None) if silent else _print_second, folder=keep, programs=programs
+    )
     number = 0
     try:
-        result = uvloop.run(_played(play))
+        result = uvloop.run(_play(play))
         if store is not None:
             with Store(store) as kept:
                 number = kept.add(told.source, result, play.seconds, play.stage.history, play.logs)
     except (RigError, OSError) as problem:
-        broken(problem)
+        exit_with(problem)
     if as_json:
-        say_json({"run": number, **msgspec.to_builtins(result)})
+        print_json({"run": number, **msgspec.to_builtins(result)})
     elif not quiet:
-        print(closing(result))
+        print(report_text(result))
         if store is not None:
-            print(f"kept as run {number} in {store}")
-    raise typer.Exit(verdict(result))
+            print(f"stored as run {number} in {store}")
+    raise typer.Exit(exit_code(result))
 
 
-def started_by(command: str, sidecars: int) -> dict[str, Program]:
-    """All sidecars, each started by these words in this folder."""
+def programs_for(command: str, sidecars: int) -> dict[str, Program]:
+    """The programs of all sidecars, each started with this command in the current folder."""
     program = Program(tuple(shlex.split(command)), Path.cwd())
     return {f"sidecar-{number}": program for number in range(sidecars)}
 
 
-async def _played(play: Play) -> Result:
+async def _play(play: Play) -> Result:
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, play.interrupt)
     return await play.run()
 
 
-def verdict(result: Result) -> Exit:
+def exit_code(result: Result) -> Exit:
+    """The exit code for a result."""
     if result.interrupted:
         return Exit.INTERRUPTED
     if result.findings:
@@ -160,21 +166,24 @@
     return Exit.LATE if result.late else Exit.FINE
 
 
-def _say_second(second: Second) -> None:
+def _print_second(second: Second) -> None:
     counts = Counter[str]()
-    for (_, how), count in second.ended.items():
-        counts[how] += count
-    asked = counts.total()
-    shares = ", ".join(f"{name} {counts[name] / max(1, asked):.0%}" for name in OUTCOMES)
-    print(f"{second.at:4.0f} s  {asked:5d} requests: {shares}", flush=True)
+    for (_, outcome), count in second.ended.items():
+        counts[outcome] += count
+    requests = counts.total()
+    shares = ", ".join(f"{name} {counts[name] / max(1, requests):.0%}" for name in OUTCOMES)
+    print(f"{second.at:4.0f} s  {requests:5d} requests: {shares}", flush=True)
 
 
-def closing(result: Result) -> str:
+def report_text(result: Result) -> str:
+    """Format the result of a run."""
     lines = [f"{result.title}: seed {result.seed}, revision {result.revision}"]
     for name, one in result.summary.classes.items():
-        shares = ", ".join(f"{how} {one.outcomes[how] / max(1, one.asked):.1%}" for how in OUTCOMES)
-        took = f"; p50 {one.latency['p50']:.0f} ms, p99 {one.latency['p99']:.0f} ms" if one.latency else ""
-        lines.append(f"  {name}: {one.asked} asked, {shares}{took}")
+        shares = ", ".join(
+            f"{outcome} {one.outcomes[outcome] / max(1, one.asked):.1%}" for outcome in OUTCOMES
+        )
+        latency = f"; p50 {one.latency['p50']:.0f} ms, p99 {one.latency['p99']:.0f} ms" if one.latency else ""
+        lines.append(f"  {name}: {one.asked} asked, {shares}{latency}")
     judged = ", ".join(
         f"{rule} {count}" + (f" ({result.excused[rule]} excused)" if result.excused.get(rule) else "")
         for rule, count in result.judged.items()
@@ -185,37 +194,39 @@
         lines.append(f"  BROKEN {rule}, {count} times; first at {first.at:.2f} s: {first.said}")
         lines += [f"    {line}" for line in first.time_line[:15]]
     if not result.findings:
-        lines.append("  no promise was broken")
+        lines.append("  no rule was broken")
     if result.late:
         lines.append(
-            f"  does not count: the rig was late, up to {result.lateness['most'] * 1000:.0f} ms, "
+            f"  invalid run: the testbed was late, up to {result.lateness['most'] * 1000:.0f} ms, "
             f"{result.held_back} requests held back"
         )
     if result.interrupted:
-        lines.append("  does not count: interrupted")
+        lines.append("  invalid run: interrupted")
     return "\n".join(lines)
 
 
 @app.command()
 def sweep(
-    names: Annotated[list[str], typer.Argument(metavar="PLAN...", help="Files, or names of scenarios.")],
+    names: Annotated[
+        list[str], typer.Argument(metavar="PLAN...", help="Files or names of shipped scenarios.")
+    ],
     seeds: Seeds = "1..5",
     store: StoreFile = Path("rig.sqlite"),
     jobs: Jobs = 2,
     as_json: AsJson = False,
 ) -> None:
-    """Play plans over seeds, each in a process of its own. What is in the store already is not done again."""
-    wanted = [Job(name, load(name).source, seed) for name in names for seed in seeds_of(seeds)]
-    rows = swept(store, wanted, jobs)
+    """Play plans over seeds, each in its own process. Runs that are in the store already are not repeated."""
+    wanted = [Job(name, load(name).source, seed) for name in names for seed in parse_seeds(seeds)]
+    rows = run_missing(store, wanted, jobs)
     if as_json:
-        say_json([{"run": row.id, **msgspec.to_builtins(row.result)} for row in rows])
+        print_json([{"run": row.id, **msgspec.to_builtins(row.result)} for row in rows])
     else:
         print(table(rows))
     raise typer.Exit(Exit.NO if any(row.result.findings for row in rows) else Exit.FINE)
 
 
-def swept(path: Path, wanted: list[Job], jobs: int) -> list[Row]:
-    """Run what is missing; the last run that counts of each."""
+def run_missing(path: Path, wanted: list[Job], jobs: int) -> list[Row]:
+    """Run the jobs that are missing in the store, and return the last valid run of each job."""
     try:
         with Store(path) as store:
             left = sweeps.open_jobs(store, wanted)
@@ -230,14 +241,14 @@
     except KeyboardInterrupt:
         fail(
             Exit.INTERRUPTED,
-            f"interrupted; what was done is in {path}, and the same command goes on from there",
+            f"interrupted; finished runs are in {path}, and the same command continues from there",
         )
     except RigError as problem:
-        broken(problem)
+        exit_with(problem)
 
 
 def progress() -> Progress:
-    """A bar on a terminal, for runs that are counted."""
+    """A progress bar, shown on a terminal only."""
     from rich.console import Console
 
     return Progress(
@@ -247,7 +258,7 @@
 
 
 def table(rows: list[Row]) -> str:
-    """A line a plan and revision."""
+    """Format a table with one line for each plan and revision."""
     shown: list[tuple[str, ...]] = [("plan", "revision", "runs", "worth", "least", *OUTCOMES, "findings")]
     groups: dict[tuple[str, str], list[Row]] = {}
     for row in rows:
@@ -260,7 +271,7 @@
         found = Counter(finding.rule for row in group for finding in row.result.findings)
         shown.append(
             (title, name, str(len(group)), f"{sum(worths) / len(worths):.4f}", f"{min(worths):.4f}",
-             *(f"{counts[how] / max(1, counts.total()):.2%}" for how in OUTCOMES),
+             *(f"{counts[outcome] / max(1, counts.total()):.2%}" for outcome in OUTCOMES),
              ", ".join(f"{rule} {count}" for rule, count in found.items()) or "none")
         )  # fmt: skip
     return columns(shown)
@@ -270,53 +281,53 @@
 def compare(
     first: Annotated[str, typer.Argument(metavar="REV")],
     second: Annotated[str, typer.Argument(metavar="REV")],
-    plan: Annotated[str, typer.Option(help="A file, or the name of a scenario.")] = "all-at-once",
+    plan: Annotated[str, typer.Option(help="A file, or the name of a shipped scenario.")] = "all-at-once",
     seeds: Seeds = "1..10",
     store: StoreFile = Path("rig.sqlite"),
     jobs: Jobs = 2,
     as_json: AsJson = False,
 ) -> None:
-    """Play two revisions of the sidecar over the same seeds, in turns, and say whether a difference is
-    shown."""
+    """Play two revisions of the sidecar over the same seeds, alternating, and say whether they differ
+    significantly."""
     try:
         from sprucenotch.rig.compare import CONFIDENCE
         from sprucenotch.rig.compare import compare as compared
     except ImportError as problem:
-        fail(Exit.BAD_INPUT, f"{problem.name} is not there; {LAB}")
+        fail(Exit.BAD_INPUT, f"{problem.name} is not installed; {LAB}")
     source = load(plan).source
     turns = [(first, second), (second, first)]
     wanted = [
-        Job(plan, source, seed, name) for n, seed in enumerate(seeds_of(seeds)) for name in turns[n % 2]
+        Job(plan, source, seed, name) for n, seed in enumerate(parse_seeds(seeds)) for name in turns[n % 2]
     ]
     try:
         names = revisions.name(first), revisions.name(second)
-        rows = swept(store, wanted, jobs)
+        rows = run_missing(store, wanted, jobs)
         by_name = {n: {r.result.seed: r for r in rows if r.result.revision == n} for n in names}
         found = compared(*(by_name[name] for name in names))
     except RigError as problem:
-        broken(problem)
+        exit_with(problem)
     if as_json:
-        say_json({"first": names[0], "second": names[1], **found._asdict(), "shown": found.shown})
+        print_json({"first": names[0], "second": names[1], **found._asdict(), "shown": found.shown})
         return
     print(table(rows))
     print(
-        f"worth of {names[1]} less {names[0]}: {found.difference:+.4f}, {CONFIDENCE:.0%} interval "
+        f"worth of {names[1]} minus {names[0]}: {found.difference:+.4f}, {CONFIDENCE:.0%} interval "
         f"{found.low:+.4f} to {found.high:+.4f} over {found.pairs} paired seeds: "
-        f"{'a difference is shown' if found.shown else 'no difference is shown'}"
+        f"{'significant difference' if found.shown else 'no significant difference'}"
     )
 
 
 @app.command()
 def report(
-    store: Annotated[Path, typer.Argument(help="Where runs are kept.")],
-    run: Annotated[int, typer.Option(help="Its number; the last one without it.", min=0)] = 0,
-    out: Annotated[Path, typer.Option(help="The page to write.")] = Path("report.html"),
+    store: Annotated[Path, typer.Argument(help="Database of the runs.")],
+    run: Annotated[int, typer.Option(help="Number of the run; default: the last one.", min=0)] = 0,
+    out: Annotated[Path, typer.Option(help="HTML file to write.")] = Path("report.html"),
 ) -> None:
     """Write a run as one HTML page."""
     try:
         from sprucenotch.rig import report as reports
     except ImportError as problem:
-        fail(Exit.BAD_INPUT, f"{problem.name} is not there; {LAB}")
+        fail(Exit.BAD_INPUT, f"{problem.name} is not installed; {LAB}")
     if not store.is_file():
         fail(Exit.BAD_INPUT, f"there is no store {store}")
     try:
@@ -326,7 +337,7 @@
                 fail(Exit.BAD_INPUT, f"there is no run {run or ''} in {store}")
             reports.write(kept, rows[-1], out)
     except RigError as problem:
-        broken(problem)
+        exit_with(problem)
     except OSError as problem:
         fail(Exit.BAD_INPUT, f"{out} cannot be written: {problem.strerror}")
     print(f"run {rows[-1].id} is in {out}")
@@ -335,29 +346,29 @@
 @app.command()
 def soak(
     plan: Annotated[str, typer.Argument(help="A plan with a nemesis.")] = "soak",
-    lasts: Annotated[str, typer.Option("--for", help="Such as 10m.")] = "10m",
+    lasts: Annotated[str, typer.Option("--for", help="Length of the run, such as 10m.")] = "10m",
     seed: Annotated[int, typer.Option(min=0)] = 1,
     store: Annotated[Path | None, typer.Option(help="Keep the run there.")] = None,
     as_json: AsJson = False,
 ) -> None:
-    """Play a plan's nemesis for long: memory must not grow in the second half, no descriptor leak, nothing
-    be lost."""
+    """Play a plan's nemesis for a long time, and check that memory and descriptors do not grow and that no
+    rule is broken."""
     try:
         told = soaks.stretch(load(plan), lasts)
     except SettingsError as problem:
         fail(Exit.BAD_INPUT, str(problem))
-    play = Play(told, seed, (lambda second: None) if as_json else _say_second)
+    play = Play(told, seed, (lambda second: None) if as_json else _print_second)
     try:
-        result = uvloop.run(_played(play))
+        result = uvloop.run(_play(play))
         result = msgspec.structs.replace(result, findings=[*result.findings, *soaks.judge(play.seconds)])
         if store is not None:
             with Store(store) as kept:
                 kept.add(told.source, result, play.seconds, play.stage.history, play.logs)
     except (RigError, OSError) as problem:
-        broken(problem)
+        exit_with(problem)
     if as_json:
-        say_json(msgspec.to_builtins(result))
+        print_json(msgspec.to_builtins(result))
     else:
-        print(closing(result))
+        print(report_text(result))
         print(soaks.summary(play.seconds))
-    raise typer.Exit(verdict(result))
+    raise typer.Exit(exit_code(result))
--- a/sprucenotch/cli/service.py
+++ b/sprucenotch/cli/service.py
@@ -1,4 +1,4 @@
-"""`sprucenotch rig service`: how fast service returns when sidecars start anew."""
+"""`sprucenotch rig service`: measures how fast service recovers after sidecar restarts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import typer
 
 from sprucenotch.cli.output import Exit, fail
-from sprucenotch.cli.rig import LAB, Jobs, Seeds, StoreFile, broken, seeds_of, swept
+from sprucenotch.cli.rig import LAB, Jobs, Seeds, StoreFile, exit_with, parse_seeds, run_missing
 from sprucenotch.rig.process import RigError
 from sprucenotch.rig.store import Store
 from sprucenotch.rig.sweep import Job
@@ -20,13 +20,13 @@
     seeds: Seeds = "1..30",
     store: StoreFile = Path("service.sqlite"),
     jobs: Jobs = 2,
-    out: Annotated[Path, typer.Option(help="Where to draw it, as SVG.")] = Path("service.svg"),
+    out: Annotated[Path, typer.Option(help="SVG file to write.")] = Path("service.svg"),
 ) -> None:
-    """Measure how fast service returns when sidecars start anew, with and without what was kept."""
+    """Measure how fast service recovers after sidecar restarts, with and without state kept on disk."""
     try:
         from sprucenotch.rig import service as returns
     except ImportError as problem:
-        fail(Exit.BAD_INPUT, f"{problem.name} is not there; {LAB}")
+        fail(Exit.BAD_INPUT, f"{problem.name} is not installed; {LAB}")
     found: dict[str, dict[str, dict[int, returns.Figures]]] = {}
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         wanted: dict[tuple[str, str], list[Job]] = {}
@@ -34,33 +34,33 @@
             for state in returns.STATES:
                 file, source = Path(folder) / f"{case}-{state}.toml", returns.plan(case, state)
                 file.write_text(source)
-                wanted[case, state] = [Job(str(file), source, seed) for seed in seeds_of(seeds)]
-        # By seed, so that what is compared was played at about the same time.
-        rows = swept(store, [job for turn in zip(*wanted.values(), strict=True) for job in turn], jobs)
+                wanted[case, state] = [Job(str(file), source, seed) for seed in parse_seeds(seeds)]
+        # Ordered by seed, so that the runs that are compared are made at about the same time.
+        rows = run_missing(store, [job for turn in zip(*wanted.values(), strict=True) for job in turn], jobs)
     try:
         with Store(store) as kept:
             for (case, state), group in wanted.items():
-                mine = [row for row in rows if row.plan == group[0].source]
+                group_rows = [row for row in rows if row.plan == group[0].source]
                 found.setdefault(case, {})[state] = {
                     row.result.seed: returns.measure(
                         row.plan, kept.history(row.id), kept.logs(row.id), row.result.began
                     )
-                    for row in mine
+                    for row in group_rows
                 }
         for case, by_state in found.items():
             print(f"{returns.TITLES[case]}:")
-            for name, gap in returns.compared(by_state).items():
+            for name, difference in returns.compared(by_state).items():
                 means = (
                     statistics.fmean(getattr(r, name) for r in by_state[s].values()) for s in returns.STATES
                 )
-                told = " and ".join(f"{mean:.3f}" for mean in means)
+                both = " and ".join(f"{mean:.3f}" for mean in means)
                 print(
-                    f"  {returns.FIGURES[name]}: {told} without and with it; {gap.difference:+.3f} "
-                    f"({gap.low:+.3f} to {gap.high:+.3f}, {gap.pairs} pairs)"
+                    f"  {returns.FIGURES[name]}: {both} without and with it; {difference.difference:+.3f} "
+                    f"({difference.low:+.3f} to {difference.high:+.3f}, {difference.pairs} pairs)"
                 )
         returns.draw(found, out)
     except RigError as problem:
-        broken(problem)
+        exit_with(problem)
     except OSError as problem:
         fail(Exit.BAD_INPUT, f"{out} cannot be written: {problem.strerror}")
     raise typer.Exit(Exit.NO if any(row.result.findings for row in rows) else Exit.FINE)
--- a/sprucenotch/rig/nemesis.py
+++ b/sprucenotch/rig/nemesis.py
@@ -11,7 +11,7 @@
 
 
 def steps(plan: Plan, seed: int) -> tuple[Step, ...]:
-    """The plan's own steps and those that its nemesis draws. Of the drawn steps at most `at_once` overlap, and
+    """The plan's own steps and those that its nemesis draws. Of the latter, at most `at_once` overlap and
     none lasts beyond the end of the nemesis."""
     nemesis = plan.nemesis
     if nemesis is None:
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -103,13 +103,13 @@
     told["listen"] = "127.0.0.1:9"
     new.write_text(json.dumps(told))
     code, said, _ = typed("config", "diff", str(file), str(new))
-    assert code == 0 and said.splitlines()[-1] == "SIGHUP would take it"
+    assert code == 0 and said.splitlines()[-1] == "SIGHUP would apply it"
     assert "settings.limits.max_attempts: 5 -> 2\n" in said
     assert "listen: 127.0.0.1:0 -> 127.0.0.1:9  (not before the next start)" in said
     del told["settings"]["Limits"]["Probes"]
     new.write_text(json.dumps(told))
     code, said, _ = typed("config", "diff", str(file), str(new))
-    assert code == 1 and "turn it down: settings.Limits.Probes is missing" in said
+    assert code == 1 and "reject it: settings.Limits.Probes is missing" in said
 
 
 @pytest.mark.parametrize(
@@ -149,7 +149,7 @@
             code, said, _ = await asyncio.to_thread(typed, "status", mgmt)
             assert code == 0 and "ready" in said and "place-order" in said
         ended, _, complaint = typed("status", mgmt)
-        assert ended == 3 and complaint.startswith(f"sprucenotch: nobody answers at {mgmt}")
+        assert ended == 3 and complaint.startswith(f"sprucenotch: no answer from {mgmt}")
 
     run(test())
 
