--- a/benchmarks/failing_calls.py
+++ b/benchmarks/failing_calls.py
@@ -1,13 +1,13 @@
-"""Requests lost where system calls fail: each documented failure, and pairs of them, by what the program
-does meanwhile.
+"""Counts requests lost when system calls fail, for each documented error or for pairs of calls, in each
+state of the program.
 
-    python benchmarks/failing_calls.py                # each alone
-    python benchmarks/failing_calls.py --pairs        # two kinds of calls at once
+    python benchmarks/failing_calls.py                # one kind of call at a time
+    python benchmarks/failing_calls.py --pairs        # two kinds of calls at a time
 
-Real processes with the library of failing calls; one of `--every` calls fails. Each cell tells how many of
-its requests got no whole answer with status 200, and `died` where the process ended. Sources of the errors:
-accept(2), connect(2), epoll_ctl(2), recv(2), send(2), socket(2), shutdown(2) and the POSIX pages of the same
-names.
+It runs real processes with the fault injection library; one of `--every` calls fails. Each cell of the table
+shows how many requests got no complete answer with status 200, or `died` if the process ended. The errors
+are those documented in accept(2), connect(2), epoll_ctl(2), recv(2), send(2), socket(2), shutdown(2) and
+the POSIX pages of the same names.
 """
 
 from __future__ import annotations
@@ -37,32 +37,32 @@
     Call.SHUTDOWN: ("ENOBUFS",),
     Call.EPOLL_CTL: ("ENOMEM", "ENOSPC"),
 }
-HELD = 20  # requests under way as a process is told to stop
+REQUESTS = 20  # of a cell, in flight when the process is stopped
 READY = b"GET /api/ready HTTP/1.1\r\n\r\n"
-NEW_EACH = 0.02  # seconds between two new connections while one process hands over to the next
+INTERVAL = 0.02  # seconds between two new connections, or two reloads
 RUN_TIMEOUT = 40.0  # seconds
 
-Count = tuple[int, int]  # requests without a whole answer, and all
+Count = tuple[int, int]  # requests without a complete answer, and all requests
 
 
 class Died(Exception):
-    """The program ended."""
+    """The program ended unexpectedly."""
 
 
-def in_force(sidecar: Program, rules: Sequence[Rule]) -> None:
+def apply_rules(sidecar: Program, rules: Sequence[Rule]) -> None:
     for rule in rules:
         sidecar.control.fail(rule)
 
 
-async def answered(client: Client) -> bool:
+async def is_answered(client: Client) -> bool:
     try:
         return (await client.answer())[0] == 200
     except (ConnectionError, asyncio.IncompleteReadError):
         return False
 
 
-async def asked_anew(listen: str) -> bool:
-    """A request on a connection of its own."""
+async def ask_on_new_connection(listen: str) -> bool:
+    """Send a request on a new connection; whether it was answered with status 200."""
     try:
         return (await (await connected(listen)).ask(request()))[0] == 200
     except (ConnectionError, asyncio.IncompleteReadError):
@@ -70,69 +70,75 @@
 
 
 async def at_start(folder: Path, rules: Sequence[Rule]) -> Count:
-    """In force from the first call on: a client each 20 ms from when it is ready."""
+    """The rules apply from the first call on; requests are sent once it is ready."""
     async with (
         endpoint(always_ok) as served,
         endpoint(nothing_new) as discovery,
         program(folder, served.dial, *rules, discovery=discovery.dial) as sidecar,
     ):
         await sidecar.ready()
-        done = await asyncio.gather(*(asked_anew(sidecar.told["listen"]) for _ in range(HELD)))
-        alive(sidecar)
-        return done.count(False), HELD
+        done = await asyncio.gather(
+            *(ask_on_new_connection(sidecar.configuration["listen"]) for _ in range(REQUESTS))
+        )
+        check_alive(sidecar)
+        return done.count(False), REQUESTS
 
 
 async def while_serving(folder: Path, rules: Sequence[Rule]) -> Count:
+    """The rules apply while it serves a mixed load."""
     async with serving_sizes(folder) as sidecar:
-        in_force(sidecar, rules)
+        apply_rules(sidecar, rules)
         failed = await failures_of_a_mixed_load(sidecar, idle_may_close=True)
-        alive(sidecar)
-        return len(failed), HELD
+        check_alive(sidecar)
+        return len(failed), REQUESTS
 
 
 async def while_reloading(folder: Path, rules: Sequence[Rule]) -> Count:
+    """The rules apply while it serves a mixed load and reloads its configuration every 20 ms."""
     async with serving_sizes(folder) as sidecar:
-        in_force(sidecar, rules)
+        apply_rules(sidecar, rules)
 
         async def reload() -> None:
             while True:
                 sidecar.process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(NEW_EACH)
+                await asyncio.sleep(INTERVAL)
 
         reloading = asyncio.ensure_future(reload())
         try:
             failed = await failures_of_a_mixed_load(sidecar, idle_may_close=True)
         finally:
             reloading.cancel()
-        alive(sidecar)
-        return len(failed), HELD
+        check_alive(sidecar)
+        return len(failed), REQUESTS
 
 
 async def while_draining(folder: Path, rules: Sequence[Rule]) -> Count:
-    """Requests are under way at SIGTERM, and others come on new connections right after it."""
+    """Requests are in flight at SIGTERM, and others arrive on new connections right after it."""
     go_on = asyncio.Event()
 
-    async def held(seen: Seen) -> bytes:
+    async def answer_later(seen: Seen) -> bytes:
         await go_on.wait()
         return ok(bytes(200_000))
 
     async with (
-        endpoint(held) as served,
+        endpoint(answer_later) as served,
         endpoint(nothing_new) as discovery,
         program(folder, served.dial, discovery=discovery.dial) as sidecar,
     ):
         await sidecar.ready()
-        clients = [await sidecar.client() for _ in range(HELD)]
+        clients = [await sidecar.client() for _ in range(REQUESTS)]
         for client in clients:
             client.writer.write(request())
-        while len(served.seen) < HELD:
+        while len(served.seen) < REQUESTS:
             await asyncio.sleep(0.001)
-        in_force(sidecar, rules)
+        apply_rules(sidecar, rules)
         sidecar.process.terminate()
-        later = [asyncio.ensure_future(asked_anew(sidecar.told["listen"])) for _ in range(5)]
+        later = [
+            asyncio.ensure_future(ask_on_new_connection(sidecar.configuration["listen"])) for _ in range(5)
+        ]
         await asyncio.sleep(0.1)
         go_on.set()
-        done = await asyncio.gather(*map(answered, clients), *later)
+        done = await asyncio.gather(*map(is_answered, clients), *later)
         ended = await sidecar.process.wait()
         if ended:
             raise Died
@@ -140,7 +146,7 @@
 
 
 async def while_handing_over(folder: Path, rules: Sequence[Rule]) -> Count:
-    """A successor at the same address takes over; a new connection each 20 ms."""
+    """A successor at the same address takes over, with a new connection every 20 ms."""
     first, second = folder / "first", folder / "second"
     first.mkdir()
     second.mkdir()
@@ -149,8 +155,8 @@
 
     async def load() -> None:
         while True:
-            done.append(asyncio.ensure_future(asked_anew(listen)))
-            await asyncio.sleep(NEW_EACH)
+            done.append(asyncio.ensure_future(ask_on_new_connection(listen)))
+            await asyncio.sleep(INTERVAL)
 
     async with (
         endpoint(always_ok) as served,
@@ -161,7 +167,7 @@
         ) as before,
     ):  # fmt: skip
         await before.ready()
-        in_force(before, rules)
+        apply_rules(before, rules)
         loading = asyncio.ensure_future(load())
         state = {"predecessor": management}
         try:
@@ -169,24 +175,25 @@
                 second, served.dial, *rules, discovery=discovery.dial, listen=listen, mgmt=dead_dial(),
                 state=state,
             ) as successor:  # fmt: skip
-                await (await connected(str(successor.told["mgmt"]))).ask(READY)
+                await (await connected(str(successor.configuration["mgmt"]))).ask(READY)
                 await asyncio.sleep(0.5)
                 before.process.terminate()
                 ended = await before.process.wait()
                 await asyncio.sleep(0.2)
                 loading.cancel()
                 results = await asyncio.gather(*done)
-                alive(successor)
+                check_alive(successor)
                 if ended:
                     raise Died
                 return results.count(False), len(results)
         finally:
             loading.cancel()
-            for one in done:
-                one.cancel()
+            for request_task in done:
+                request_task.cancel()
 
 
-def alive(sidecar: Program) -> None:
+def check_alive(sidecar: Program) -> None:
+    """Raises Died if the process has ended."""
     if sidecar.process.returncode is not None:
         raise Died
 
@@ -201,21 +208,22 @@
 
 
 async def cell(state: str, rules: Sequence[Rule]) -> str:
+    """Measure one cell of the table."""
     with tempfile.TemporaryDirectory() as folder:
         try:
-            failed, all_of_them = await asyncio.wait_for(STATES[state](Path(folder), rules), RUN_TIMEOUT)
+            failed, total = await asyncio.wait_for(STATES[state](Path(folder), rules), RUN_TIMEOUT)
         except Died:
             return "died"
         except (TimeoutError, OSError, asyncio.IncompleteReadError, AssertionError) as problem:
             return type(problem).__name__
-        return f"{failed} of {all_of_them}"
+        return f"{failed} of {total}"
 
 
 async def table(rows: Sequence[Sequence[Rule]], jobs: int) -> None:
-    gate = asyncio.Semaphore(jobs)
+    semaphore = asyncio.Semaphore(jobs)
 
     async def row(rules: Sequence[Rule]) -> str:
-        async with gate:
+        async with semaphore:
             cells = [await cell(state, rules) for state in STATES]
         return f"| {', '.join(map(str, rules))} | {' | '.join(cells)} |"
 
@@ -227,20 +235,24 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--pairs", action="store_true", help="two kinds at once, by the first error of each")
+    parser.add_argument(
+        "--pairs", action="store_true", help="two kinds of calls at a time, with the first error of each"
+    )
     parser.add_argument("--every", type=int, default=3)
     parser.add_argument("--jobs", type=int, default=4)
-    told = parser.parse_args()
-    if told.pairs:
-        firsts = [Rule(call, getattr(errno, names[0]), told.every) for call, names in FAILURES.items()]
-        rows: list[Sequence[Rule]] = list(itertools.combinations(firsts, 2))
+    options = parser.parse_args()
+    if options.pairs:
+        first_errors = [
+            Rule(call, getattr(errno, names[0]), options.every) for call, names in FAILURES.items()
+        ]
+        rows: list[Sequence[Rule]] = list(itertools.combinations(first_errors, 2))
     else:
         rows = [
-            (Rule(call, getattr(errno, name), told.every),)
+            (Rule(call, getattr(errno, name), options.every),)
             for call, names in FAILURES.items()
             for name in names
         ]
-    uvloop.run(table(rows, told.jobs))
+    uvloop.run(table(rows, options.jobs))
 
 
 if __name__ == "__main__":
--- a/benchmarks/hunt.py
+++ b/benchmarks/hunt.py
@@ -1,8 +1,8 @@
-"""How much the hunt finds: known faults are planted one at a time, each a mend undone.
+"""Measures how many known faults the hunt detects: they are planted one at a time, each by undoing a fix.
 
-The faults are those of tests/planted_hunt.py. Each is played on the first seeds whose schedule draws what it
-takes for it to show, with sidecars that have it. Printed: the share of all seeds that draw it, in how many
-runs it was found under a rule that it may break, and which rules were broken.
+The faults are those of tests/planted_hunt.py. Each is tested with faulty sidecars on the first seeds whose
+schedule contains a step that can trigger it. It prints the share of all seeds with such a step, the number
+of runs in which a rule that the fault may break was reported, and which rules were broken.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
 
 
 class Found(NamedTuple):
-    """Of one planted fault."""
+    """The result for one planted fault."""
 
-    drawn: float  # share of all seeds that draw what it takes
+    drawn: float  # share of all seeds whose schedule can trigger it
     runs: int
     hits: int  # runs that broke one of the rules that the fault may break
-    rules: Counter[str]  # by rule, the runs that broke it
+    rules: Counter[str]  # number of runs that broke each rule
     seconds: float
 
 
 def seeds_for(fault: str, length: float) -> list[int]:
-    """Of SEEDS, those whose schedule draws what it takes for the fault to show."""
+    """The seeds whose schedule contains a step that can trigger the fault."""
     return [
         seed for seed in SEEDS if any(kind(step) in TRIGGERS[fault] for step in schedule(seed, length).steps)
     ]
 
 
-def look_for(fault: str, count: int, length: float, jobs: int, folder: Path) -> Found:
-    """Play so many seeds with that fault."""
-    possible = seeds_for(fault, length)
-    seeds = possible[:count]
+def run_hunt(fault: str, count: int, length: float, jobs: int, folder: Path) -> Found:
+    """Run the hunt with that fault on `count` seeds."""
+    triggering = seeds_for(fault, length)
+    seeds = triggering[:count]
     command = f"{sys.executable} -m tests.planted_hunt {fault}"
     campaign = Campaign(folder / f"{fault}.sqlite", folder / fault, length, jobs, command)
     began = time.monotonic()
@@ -52,24 +52,24 @@
     found = finds(campaign.rows(seeds), failed)
     rules = Counter(find.rule for find in found)
     hits = len({find.seed for find in found if find.rule in FAULTS[fault][1]})
-    return Found(len(possible) / len(SEEDS), len(seeds), hits, rules, time.monotonic() - began)
+    return Found(len(triggering) / len(SEEDS), len(seeds), hits, rules, time.monotonic() - began)
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("faults", nargs="*", help="all, where none is named")
+    parser.add_argument("faults", nargs="*", help="default: all")
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--for", dest="length", type=float, default=20.0, help="seconds of a run")
     parser.add_argument("--jobs", type=int, default=4)
-    told = parser.parse_args()
+    options = parser.parse_args()
     total = Counter[str]()
     with tempfile.TemporaryDirectory(prefix="hunt-") as folder:
-        for fault in told.faults or FAULTS:
-            one = look_for(fault, told.seeds, told.length, told.jobs, Path(folder))
-            total.update(faults=1, found=one.hits > 0, runs=one.runs, seconds=round(one.seconds))
-            rules = ", ".join(f"{rule} {count}" for rule, count in one.rules.most_common()) or "nothing"
+        for fault in options.faults or FAULTS:
+            found = run_hunt(fault, options.seeds, options.length, options.jobs, Path(folder))
+            total.update(faults=1, found=found.hits > 0, runs=found.runs, seconds=round(found.seconds))
+            rules = ", ".join(f"{rule} {count}" for rule, count in found.rules.most_common()) or "nothing"
             print(
-                f"{fault}: drawn by {one.drawn:.0%}, found in {one.hits} of {one.runs} runs; {rules}",
+                f"{fault}: drawn by {found.drawn:.0%}, found in {found.hits} of {found.runs} runs; {rules}",
                 flush=True,
             )
     minutes = total["seconds"] / 60
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,10 +1,10 @@
-"""What the rig itself can do: the most requests a second that it makes, relays and serves without being late.
+"""Measures the testbed itself: the highest rate at which it sends, relays and serves requests on time.
 
     python benchmarks/rig.py
 
-Clients, a relay and an engine in one process, with no sidecar between them, at rates that grow until the
-load is late by more than the rig allows itself, or an answer is missing. Prints a line a rate; the last
-that was not late is the most. A request of a plan that cuts links passes one relay on each of them.
+Clients, a relay and an engine run in one process, without a sidecar, at increasing rates, until the load is
+later than the testbed allows or an answer is missing. It prints a line for each rate, and then the highest
+one that was on time. In a plan with link faults, each affected link has one such relay.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 async def play(rate: float, seconds: float, relayed: bool) -> tuple[float, float, int, int]:
-    """The 99th percentile and the most of the load's lateness in milliseconds, answers, and requests."""
+    """The 99th percentile and maximum of the lateness in milliseconds, answers and requests."""
     work = {b"look": Work(0.002)}
     engine = Engine("engine-0", "", work, slots=10_000, queue=0, seed=1)
     await engine.start()
@@ -38,42 +38,42 @@
     relay.open()
     ended: list[Ended] = []
     clients = Clients(relay.dial if relayed else dial, ended.append)
-    rng, late, sent = random.Random(1), list[float](), 0
+    rng, lateness, sent = random.Random(1), list[float](), 0
     due = time.monotonic()
     until = due + seconds
     while (due := due + rng.expovariate(rate)) < until:
         if (now := time.monotonic()) < due:
             await asyncio.sleep(due - now)
-        late.append(max(0.0, time.monotonic() - due))
+        lateness.append(max(0.0, time.monotonic() - due))
         clients.send(Ask(KIND))
         sent += 1
     await clients.finish()
     relay.close()
     await engine.die()
-    served = sum(one.outcome == "served" for one in ended)
-    return statistics.quantiles(late, n=100)[98] * 1000, max(late) * 1000, served, sent
+    served = sum(result.outcome == "served" for result in ended)
+    return statistics.quantiles(lateness, n=100)[98] * 1000, max(lateness) * 1000, served, sent
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
     parser.add_argument("--seconds", type=float, default=3.0, help="of each rate")
-    parser.add_argument("--most", type=float, default=20_000.0, help="requests a second at which it ends")
+    parser.add_argument("--most", type=float, default=20_000.0, help="highest rate, in requests a second")
     options = parser.parse_args()
     allow_descriptors()
     for relayed in (False, True):
-        print("through a relay" if relayed else "straight")
-        rate, kept = 250.0, 0.0
+        print("through a relay" if relayed else "direct")
+        rate, highest = 250.0, 0.0
         while rate <= options.most:
-            p99, most, served, sent = uvloop.run(play(rate, options.seconds, relayed))
-            in_time = p99 <= LATE_USUAL * 1000 and most <= LATE_MOST * 1000 and served == sent
+            p99, peak, served, sent = uvloop.run(play(rate, options.seconds, relayed))
+            in_time = p99 <= LATE_USUAL * 1000 and peak <= LATE_MOST * 1000 and served == sent
 
             print(
-                f" {rate:7.0f} a second: late by {p99:.1f} ms (p99), {most:.1f} ms; {served} of {sent} served"
+                f" {rate:7.0f} a second: late by {p99:.1f} ms (p99), {peak:.1f} ms; {served} of {sent} served"
             )
             if not in_time:
                 break
-            kept, rate = rate, rate * 2**0.5
-        print(f"  the most without being late: {kept:.0f} a second")
+            highest, rate = rate, rate * 2**0.5
+        print(f"  highest rate on time: {highest:.0f} a second")
 
 
 if __name__ == "__main__":
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -1,12 +1,12 @@
-"""What a sidecar costs: processor time a request, latency added, memory; against the direct path and, in the
-same run and in turns, against an earlier revision.
+"""Measures the cost of a sidecar: CPU time per request, added latency and memory, compared with direct
+requests and optionally, alternating in the same run, with another revision.
 
-    python benchmarks/sidecar.py                  # this tree alone, beside the direct path
-    python benchmarks/sidecar.py --against REV    # and a revision of this repository
+    python benchmarks/sidecar.py                  # this tree, compared with direct requests
+    python benchmarks/sidecar.py --against REV    # and with a revision of this repository
 
-Each round sends the same closed load to the engines themselves, then to each sidecar, every process on a
-core of its own. Processor time is the kernel's account of the sidecar's threads. Prints medians over the
-rounds, and the ratio to the revision with the quartiles of its rounds.
+Each round sends the same closed-loop load to an engine directly, then to each sidecar, with every process on
+its own core. CPU time is that of the sidecar's threads as accounted by the kernel. It prints medians over
+the rounds, and the median ratio to the revision with its quartiles.
 """
 
 from __future__ import annotations
@@ -32,48 +32,50 @@
     Class(name="look", work=2_000_000, spread=0, aim=500_000_000),
     Class(name="book", work=2_000_000, spread=0, aim=500_000_000, worth=5, effect="dedup"),
 )
-STARTS = 9  # of each version, for the cost of a start
+STARTS = 9  # of each version, to measure the cost of a start
 
 
 class Version:
+    """A revision of the sidecar with its measurements."""
+
     def __init__(self, label: str, program: Program) -> None:
         self.label, self.program = label, program
         self.tree = program.cwd or ROOT
         self.module = program.command[-1]
-        self.cpu: list[float] = []  # microseconds a request, by round
-        self.latency: list[float] = []  # milliseconds, the median of a round
-        self.tail: list[float] = []  # the 99th percentile
-        self.memory: list[int] = []
-        self.start: list[tuple[float, float]] = []  # seconds of processor time, megabytes resident
+        self.cpu: list[float] = []  # microseconds per request, for each round
+        self.latency: list[float] = []  # milliseconds, the median of each round
+        self.tail: list[float] = []  # milliseconds, the 99th percentile of each round
+        self.memory: list[int] = []  # bytes resident
+        self.start: list[tuple[float, float]] = []  # seconds of CPU time, megabytes resident
 
 
 async def load(dial: str, requests: int, connections: int) -> tuple[float, float]:
-    """A closed load: the median and the 99th percentile of the latencies, in milliseconds."""
-    took: list[float] = []
+    """Run a closed-loop load; the median and the 99th percentile of the latency, in milliseconds."""
+    latencies: list[float] = []
 
     def report(ended: Ended) -> None:
         if ended.status != 200:
             raise SystemExit(f"a request ended with {ended.status}: the figures would mean nothing")
-        took.append(ended.took * 1000)
+        latencies.append(ended.took * 1000)
 
     clients = Clients(dial, report)
-    asks = [Ask(kind(one)) for one in CLASSES]
+    asks = [Ask(kind(cls)) for cls in CLASSES]
 
-    async def one() -> None:
-        while len(took) < requests:
-            await clients.ask(asks[len(took) % len(asks)])
+    async def connection() -> None:
+        while len(latencies) < requests:
+            await clients.ask(asks[len(latencies) % len(asks)])
 
-    await asyncio.gather(*(one() for _ in range(connections)))
+    await asyncio.gather(*(connection() for _ in range(connections)))
     await clients.finish()
-    percentiles = statistics.quantiles(took, n=100)
+    percentiles = statistics.quantiles(latencies, n=100)
     return percentiles[49], percentiles[98]
 
 
 def start_cost(version: Version) -> tuple[float, float]:
-    """Seconds of processor time and megabytes resident after the imports of `run`."""
+    """CPU seconds and megabytes resident after the imports of the sidecar."""
     code = (
         f"import importlib, time\nimportlib.import_module('{version.module}.__main__')\n"
-        f"try: importlib.import_module('{version.module}.node.serve')\n"  # where it is apart
+        f"try: importlib.import_module('{version.module}.node.serve')\n"  # missing in some revisions
         "except ModuleNotFoundError: pass\nused = time.process_time()\n"
         "pages = int(open('/proc/self/statm').read().split()[1]); print(used, pages * 4096 / 1e6)"
     )
@@ -93,7 +95,7 @@
         sidecars = list(zip(versions, stage.sidecars.values(), strict=True))
         for number, (_, sidecar) in enumerate(sidecars):
             os.sched_setaffinity(sidecar.process.pid, {2 + number})
-            await load(sidecar.listen, options.requests // 4, options.connections)  # warm
+            await load(sidecar.listen, options.requests // 4, options.connections)  # warm-up
         for number in range(options.rounds):
             median, tail = await load(stage.engines["engine-0"].dial, options.requests, options.connections)
             direct.append(median)
@@ -110,6 +112,7 @@
 
 
 def ratio(mine: list[float], theirs: list[float]) -> str:
+    """The median of the ratios by round, with the quartiles."""
     ratios = [a / b for a, b in zip(mine, theirs, strict=True)]
     low, middle, high = statistics.quantiles(ratios, n=4)
     return f"{middle:.3f} ({low:.3f} to {high:.3f})"
@@ -117,9 +120,9 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
-    parser.add_argument("--against", metavar="REV", help="a revision to compare with")
+    parser.add_argument("--against", metavar="REV", help="revision to compare with")
     parser.add_argument("--rounds", type=int, default=8)
-    parser.add_argument("--requests", type=int, default=4000, help="of a round, for each path")
+    parser.add_argument("--requests", type=int, default=4000, help="per round and path")
     parser.add_argument("--connections", type=int, default=4)
     options = parser.parse_args()
     os.sched_setaffinity(0, {0, 1})
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,9 +1,9 @@
-"""What the store costs: appends a second by mode, a start with 10, 1,000 and 100,000 records, memory.
+"""Measures the store: appends a second by mode, and time and memory of a start with 10 to 100,000 records.
 
     python benchmarks/store.py [FOLDER]
 
-Records are small maps, as a sidecar's would be. The folder decides which disk is measured; without one it is
-a temporary one. Each figure is the median of the rounds.
+Records are small maps, like those of a sidecar. FOLDER selects the disk; the default is a temporary folder.
+Each figure is the median over the rounds.
 """
 
 from __future__ import annotations
@@ -31,41 +31,41 @@
 
 
 def filled(folder: Path, mode: Mode, records: int) -> tuple[Store[dict[str, float]], float]:
-    """A store with so many appended, and the seconds that took."""
+    """Create a store with so many records, and return it with the seconds that the appends took."""
     store = open_store(RealDisk(folder), OWNER, SCHEMA, time.time_ns(), mode).store
     began = time.perf_counter()
     for number in range(records):
         store.append(record(number))
     store.sync()
-    took = time.perf_counter() - began
+    seconds = time.perf_counter() - began
     store.close()
-    return store, took
+    return store, seconds
 
 
 def main() -> None:
     parent = sys.argv[1] if len(sys.argv) > 1 else None
     for mode, count in APPENDS.items():
-        took = []
+        seconds = []
         for _ in range(ROUNDS):
             with tempfile.TemporaryDirectory(dir=parent) as folder:
-                took.append(filled(Path(folder), mode, count)[1])
-        each = statistics.median(took) / count
-        print(f"append, {mode}: {1 / each:,.0f} a second, {each * 1e6:.1f} us each")
+                seconds.append(filled(Path(folder), mode, count)[1])
+        seconds_each = statistics.median(seconds) / count
+        print(f"append, {mode}: {1 / seconds_each:,.0f} a second, {seconds_each * 1e6:.1f} us each")
     for size in SIZES:
         with tempfile.TemporaryDirectory(dir=parent) as folder:
             filled(Path(folder), "none", size)
-            took = []
+            seconds = []
             for _ in range(ROUNDS):
                 began = time.perf_counter()
                 found = read(RealDisk(Path(folder)), OWNER, SCHEMA, time.time_ns())
-                took.append(time.perf_counter() - began)
+                seconds.append(time.perf_counter() - began)
             assert len(found.records) == size
             tracemalloc.start()
             found = read(RealDisk(Path(folder)), OWNER, SCHEMA, time.time_ns())
             peak = tracemalloc.get_traced_memory()[1]
             tracemalloc.stop()
-        spent = statistics.median(took) * 1000
-        print(f"start with {size:,} records: {spent:.2f} ms, at most {peak / 1e6:.1f} MB")
+        milliseconds = statistics.median(seconds) * 1000
+        print(f"start with {size:,} records: {milliseconds:.2f} ms, at most {peak / 1e6:.1f} MB")
 
 
 if __name__ == "__main__":
