--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that are known to fail, by KNOWN-RED.txt: they run, and CI passes over just these.
+"""Marks the tests that KNOWN-RED.txt lists as expected failures (strict), and prints its other entries.
 
-An entry that begins with "$ " is a command by hand, such as a day of a bench that CI does not have: it is
-printed."""
+An entry that begins with "$ " is a command that is run by hand, such as a benchmark that CI does not have;
+it is only printed."""
 
 from __future__ import annotations
 
@@ -10,56 +10,62 @@
 
 import pytest
 
-LISTED = Path("KNOWN-RED.txt")  # in the root of what is tested
-MOST = 3
-COMMAND = "$ "  # in front of one that no test plays
+FILE = Path("KNOWN-RED.txt")  # in the root of the repository
+MAX_ENTRIES = 3
+COMMAND = "$ "  # prefix of an entry that is a command
 
 
-class Red(NamedTuple):
+class KnownFailure(NamedTuple):
+    """One entry of KNOWN-RED.txt."""
+
     test: str
     cause: str
     issue: str
 
 
-def listed(text: str) -> list[Red]:
-    """The lines that are no comments. Raises pytest.UsageError where they are not in order."""
-    reds = []
+def parse(text: str) -> list[KnownFailure]:
+    """Parse the lines that are not comments. Raises pytest.UsageError on a malformed line."""
+    failures = []
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts) or not (parts[2][0] == "#" and parts[2][1:].isdigit()):
-            raise pytest.UsageError(f"{LISTED.name}: not `test | cause | #issue`: {line}")
-        reds.append(Red(*parts))
-    if len(reds) > MOST:
-        raise pytest.UsageError(f"{LISTED.name}: {len(reds)} lines, {MOST} at most")
-    return reds
+            raise pytest.UsageError(f"{FILE.name}: not `test | cause | #issue`: {line}")
+        failures.append(KnownFailure(*parts))
+    if len(failures) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{FILE.name}: {len(failures)} lines, {MAX_ENTRIES} at most")
+    return failures
 
 
-def reds_of(config: pytest.Config) -> list[Red]:
-    path = config.rootpath / LISTED
-    return listed(path.read_text()) if path.exists() else []
+def known_failures(config: pytest.Config) -> list[KnownFailure]:
+    path = config.rootpath / FILE
+    return parse(path.read_text()) if path.exists() else []
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    reds_of(config)  # what is wrong with the file ends the run before any test
+    known_failures(config)  # an invalid file ends the run before any test
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     by_id = {item.nodeid: item for item in items}
-    reds = reds_of(config)
-    for red in reds:
-        if red.test in by_id:
-            # Strict: one that passes fails the run.
-            by_id[red.test].add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
-    whole = not config.getoption("keyword") and all(Path(arg).is_dir() for arg in config.args)
-    tests = [red.test for red in reds if not red.test.startswith(COMMAND)]
-    if whole and (unknown := [test for test in tests if test not in by_id]):
-        raise pytest.UsageError(f"{LISTED.name}: no such test: {', '.join(unknown)}")
+    failures = known_failures(config)
+    for failure in failures:
+        if failure.test in by_id:
+            # Strict: a listed test that passes fails the run.
+            by_id[failure.test].add_marker(
+                pytest.mark.xfail(reason=f"{failure.cause} ({failure.issue})", strict=True)
+            )
+    full_run = not config.getoption("keyword") and all(Path(arg).is_dir() for arg in config.args)
+    tests = [failure.test for failure in failures if not failure.test.startswith(COMMAND)]
+    if full_run and (unknown := [test for test in tests if test not in by_id]):
+        raise pytest.UsageError(f"{FILE.name}: no such test: {', '.join(unknown)}")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print the commands that are known to fail: nothing here has played them."""
-    for red in reds_of(config):
-        if red.test.startswith(COMMAND):
-            terminalreporter.write_line(f"KNOWN RED, not played here: {red.test} - {red.cause} ({red.issue})")
+    """Print the commands that are known to fail and were not run here."""
+    for failure in known_failures(config):
+        if failure.test.startswith(COMMAND):
+            terminalreporter.write_line(
+                f"KNOWN RED, not played here: {failure.test} - {failure.cause} ({failure.issue})"
+            )
--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -1,4 +1,4 @@
-"""Shared by the tests: the program as a process whose system calls fail by rules."""
+"""Test helpers: runs the program in a process whose system calls fail by rules."""
 
 from __future__ import annotations
 
@@ -21,32 +21,32 @@
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 LONG_ANSWER = 1_500_000  # bytes
 LONG_UPLOAD = bytes(60_000)
-CLIENTS_OF_A_KIND = 5
-REQUESTS_OF_A_CLIENT = 3
+CLIENTS_PER_KIND = 5
+REQUESTS_PER_CLIENT = 3
 needs_compiler = pytest.mark.skipif(
     syscalls.compiler() is None, reason="failing system calls need a C compiler, and this machine has none"
 )
 
 
 class Program:
-    """A running sidecar, its configuration, and what makes its system calls fail."""
+    """A running sidecar, its configuration and the control of its system call failures."""
 
     def __init__(
-        self, process: asyncio.subprocess.Process, told: dict[str, Any], control: Control, file: Path
+        self, process: asyncio.subprocess.Process, configuration: dict[str, Any], control: Control, file: Path
     ) -> None:
-        self.process, self.told, self.control, self.file = process, told, control, file
+        self.process, self.configuration, self.control, self.file = process, configuration, control, file
 
     async def client(self) -> Client:
-        return await connected(self.told["listen"])
+        return await connected(self.configuration["listen"])
 
     async def ready(self) -> None:
-        """Wait until it takes clients."""
+        """Wait until it accepts clients."""
         assert (await (await self.client()).ask(UP))[0] == 200
 
 
 @contextlib.contextmanager
-def held(dial: str) -> Iterator[None]:
-    """Keep an address for the processes of this test, bound and never listening: nobody else's gets it."""
+def reserved(dial: str) -> Iterator[None]:
+    """Reserve an address for the processes of this test by a socket that is bound but never listens."""
     host, _, port = dial.rpartition(":")
     with socket.socket() as holder:
         holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -59,14 +59,14 @@
 async def program(
     folder: Path, dial: str, *rules: syscalls.Rule, wall_offset: int = 0, **changes: Any
 ) -> AsyncIterator[Program]:
-    """Start the program with these rules in force from its first system call on."""
-    told = configuration(dial, **({"listen": dead_dial()} | changes))
-    addresses = [told[name] for name in ("listen", "mgmt") if told.get(name)]
+    """Start the program with these rules, which apply from its first system call on."""
+    config = configuration(dial, **({"listen": dead_dial()} | changes))
+    addresses = [config[name] for name in ("listen", "mgmt") if config.get(name)]
     with contextlib.ExitStack() as stack:
-        for dial_of_its_own in addresses:
-            stack.enter_context(held(dial_of_its_own))
+        for address in addresses:
+            stack.enter_context(reserved(address))
         file = folder / "config.json"
-        file.write_text(json.dumps(told))
+        file.write_text(json.dumps(config))
         control = Control(syscalls.build(folder), folder / "calls")
         for rule in rules:
             control.fail(rule)
@@ -74,7 +74,7 @@
         environment = {**os.environ, "PROXY_CONFIG": str(file), **control.environment}
         process = await asyncio.create_subprocess_exec(*COMMAND, env=environment, cwd=ROOT)
         try:
-            yield Program(process, told, control, file)
+            yield Program(process, config, control, file)
         finally:
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
@@ -84,9 +84,9 @@
 
 @contextlib.asynccontextmanager
 async def serving_sizes(folder: Path, **changes: Any) -> AsyncIterator[Program]:
-    """A sidecar that takes clients, before a server whose answers are as long as asked for."""
+    """A ready sidecar with a server whose answers have the requested size."""
     async with (
-        endpoint(as_long_as_asked) as served,
+        endpoint(sized_answer) as served,
         endpoint(nothing_new) as discovery,
         program(folder, served.dial, discovery=discovery.dial, **changes) as sidecar,
     ):
@@ -94,18 +94,19 @@
         yield sidecar
 
 
-async def as_long_as_asked(seen: Seen) -> bytes:
-    """A body of `Answer-Size` bytes, or the request's own."""
+async def sized_answer(seen: Seen) -> bytes:
+    """Answer with `Answer-Size` bytes, or with the body of the request."""
     size = int(seen.headers.get(b"answer-size", 0))
     return ok(bytes(size) or seen.body or b"done")
 
 
 async def failures_of_a_mixed_load(sidecar: Program, idle_may_close: bool = False) -> list[str]:
-    """Twenty clients at once, three requests each on one connection: short answers, long ones, long uploads,
-    and requests that may not be repeated. One line for each request that did not get its whole answer.
+    """Run twenty concurrent clients with three requests each on one connection: short answers, long ones,
+    long uploads, and requests that must not be repeated. Returns a line for each request that did not get
+    its complete answer.
 
-    Where idle connections may be closed, one that crosses the close of its connection, which has been used
-    and brings no byte of an answer, is sent again on a new one, as clients do."""
+    With `idle_may_close`, a request on a reused connection that closes before any byte of the answer is sent
+    again on a new connection, as HTTP clients do."""
     kinds = {
         "short": (request(), len(b"done")),
         "long answer": (request(extra=b"Answer-Size: %d\r\n" % LONG_ANSWER), LONG_ANSWER),
@@ -113,29 +114,29 @@
         "not repeatable": (request(cls="post"), len(b"done")),
     }
     clients = (
-        failures_of_a_client(sidecar, name, *kind, idle_may_close)
+        client_failures(sidecar, name, *kind, idle_may_close)
         for name, kind in kinds.items()
-        for _ in range(CLIENTS_OF_A_KIND)
+        for _ in range(CLIENTS_PER_KIND)
     )
     return [line for lines in await asyncio.gather(*clients) for line in lines]
 
 
-async def failures_of_a_client(
+async def client_failures(
     sidecar: Program, name: str, raw: bytes, size: int, idle_may_close: bool
 ) -> list[str]:
     client = await sidecar.client()
-    for number in range(REQUESTS_OF_A_CLIENT):
+    for number in range(REQUESTS_PER_CLIENT):
         try:
             try:
                 status, _, body = await client.ask(raw)
-            except (ConnectionError, asyncio.IncompleteReadError) as problem:
-                nothing_came = isinstance(problem, ConnectionError) or problem.partial == b""
-                if not (idle_may_close and number and nothing_came):
+            except (ConnectionError, asyncio.IncompleteReadError) as error:
+                no_byte_received = isinstance(error, ConnectionError) or error.partial == b""
+                if not (idle_may_close and number and no_byte_received):
                     raise
                 client = await sidecar.client()
                 status, _, body = await client.ask(raw)
-        except (ConnectionError, asyncio.IncompleteReadError) as problem:
-            return [f"{name}, request {number}: {type(problem).__name__}"]
+        except (ConnectionError, asyncio.IncompleteReadError) as error:
+            return [f"{name}, request {number}: {type(error).__name__}"]
         if (status, len(body)) != (200, size):
             return [f"{name}, request {number}: status {status}, {len(body)} bytes"]
     client.writer.close()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Plans of any size can be told; whether a machine holds one is judged before its first process starts."""
+"""Plans of any size are valid; a machine that is too small for one is detected before any process starts."""
 
 from __future__ import annotations
 
@@ -36,43 +36,41 @@
 """
 
 
-def test_a_plan_names_as_many_sidecars_and_engines_as_it_likes() -> None:
-    told = plan.decode(LARGE.encode())
-    assert (told.fleet.sidecars, told.fleet.engines) == (2048, 4096)
-    assert len(plan.links(told.steps[0].fault, told.fleet)) == 4096  # type: ignore[arg-type]
+def test_plan_may_have_thousands_of_sidecars_and_engines() -> None:
+    decoded = plan.decode(LARGE.encode())
+    assert (decoded.fleet.sidecars, decoded.fleet.engines) == (2048, 4096)
+    assert len(plan.links(decoded.steps[0].fault, decoded.fleet)) == 4096  # type: ignore[arg-type]
 
 
-def test_memory_and_descriptors_are_those_of_all_processes_and_sockets() -> None:
+def test_memory_and_descriptors_count_all_processes_and_sockets() -> None:
     stage = Stage(plan.decode(LARGE.encode()), 1)
     parts = stage._parts()
     assert parts == Parts(2048, 10, 4096, 4096, 4096, True)
     sidecars, engines = (2048 + 10) * 64 * MEGABYTE, 4096 * capacity.FAKE_SERVER_MEMORY
     assert capacity.memory_needed(parts, 64 * MEGABYTE) == sidecars + engines
-    assert capacity.memory_needed(parts, 1) == sidecars // 2 + engines  # none runs in less than 32 MB
+    assert capacity.memory_needed(parts, 1) == sidecars // 2 + engines  # 32 MB is the minimum
     assert capacity.descriptors_needed(parts) == 4 * 2048 + 4096 + 4096 + 2048**2
 
 
 @pytest.mark.parametrize(
-    ("machine", "wanting"),
+    ("machine", "shortage"),
     [
         (AMPLE._replace(memory=640 * MEGABYTE - 1), "640 MB of memory, but 639 MB are available"),
         (AMPLE._replace(descriptors=47), "48 descriptors, but 47 are allowed"),
         (AMPLE._replace(memory=640 * MEGABYTE, descriptors=48), ""),
-        (AMPLE._replace(descriptors=-1), ""),  # as the kernel says that it sets none
+        (AMPLE._replace(descriptors=-1), ""),  # the kernel's value for no limit
     ],
 )
-def test_a_plan_is_turned_down_from_the_first_byte_and_descriptor_that_are_wanting(
-    machine: Machine, wanting: str
-) -> None:
+def test_plan_is_rejected_if_one_byte_or_descriptor_is_missing(machine: Machine, shortage: str) -> None:
     parts = Parts(sidecars=10, successors=0, fake_servers=0, engines=8, relays=0, peers=False)
-    if not wanting:
+    if not shortage:
         capacity.check(parts, 64 * MEGABYTE, machine)
         return
-    with pytest.raises(CapacityError, match=wanting):
+    with pytest.raises(CapacityError, match=shortage):
         capacity.check(parts, 64 * MEGABYTE, machine)
 
 
-def test_a_machine_that_is_too_small_starts_no_process(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_too_small_machine_starts_no_process(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(capacity, "this_machine", lambda: AMPLE._replace(memory=10**8))
     monkeypatch.setattr("subprocess.Popen.__init__", lambda *_, **__: pytest.fail("a process was started"))
 
@@ -84,7 +82,7 @@
     run(test())
 
 
-def test_a_stand_in_has_the_descriptors_that_the_machine_grants_and_a_sidecar_those_of_a_deployment() -> None:
+def test_fake_server_gets_the_hard_descriptor_limit_and_a_sidecar_that_of_a_deployment() -> None:
     before = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(2048, before[0]), before[1]))
 
@@ -108,12 +106,12 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, before)
 
 
-def test_the_demo_takes_any_number_and_says_what_the_machine_lacks(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_demo_with_too_many_processes_reports_missing_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(capacity, "this_machine", lambda: AMPLE._replace(memory=10**9))
-    said = CliRunner().invoke(app, ["demo", "--sidecars", "1024", "--engines", "1024"])
-    assert "needs 65536 MB of memory, but 1000 MB are available" in said.output
+    result = CliRunner().invoke(app, ["demo", "--sidecars", "1024", "--engines", "1024"])
+    assert "needs 65536 MB of memory, but 1000 MB are available" in result.output
 
 
-def test_this_machine_has_memory_and_descriptors() -> None:
+def test_this_machine_reports_memory_and_descriptors() -> None:
     memory, descriptors = capacity.this_machine()
     assert memory > 0 and (descriptors > 0 or descriptors == -1)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line as it is typed, and the forms of a configuration file."""
+"""The command line, and the formats of a configuration file."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def typed(*words: str, environment: dict[str, str] | None = None) -> tuple[int, str, str]:
-    """What a command answers: its exit code, its output and its complaint."""
+    """Run a command; the exit code, standard output and standard error."""
     environ = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")} | (environment or {})
     command = (sys.executable, "-m", "sprucenotch", *words)
     done = subprocess.run(command, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=60)
@@ -39,24 +39,24 @@
 
 
 @pytest.fixture
-def file(tmp_path: Path) -> Path:
+def config_file(tmp_path: Path) -> Path:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration("127.0.0.1:9")))
     return path
 
 
 @given(st.integers(0, 10**18), st.sampled_from((units.NANOSECONDS, units.BYTES)))
-def test_a_figure_is_read_as_it_is_written(value: int, known: dict[str, int]) -> None:
+def test_parsed_unit_text_equals_the_value_that_was_formatted(value: int, known: dict[str, int]) -> None:
     assert units.parse(units.spell(value, known), known) == value
 
 
-def test_the_toml_form_means_what_the_platforms_does() -> None:
-    told = toml.decode(EXAMPLE.read_bytes())
-    parsed = config.parse(told)
+def test_toml_and_json_formats_give_the_same_configuration() -> None:
+    content = toml.decode(EXAMPLE.read_bytes())
+    parsed = config.parse(content)
     by_name = {c.name: c for c in parsed.settings.classes}
     assert (by_name["place-order"].window, by_name["price-check"].aim) == (15 * 10**9, 400 * 10**6)
     assert (parsed.memory, parsed.connect_timeout) == (64_000_000, 200_000_000)
-    assert config.parse(json.loads(json.dumps(told))) == parsed
+    assert config.parse(json.loads(json.dumps(content))) == parsed
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
         ("[limits]", "[limits", "not TOML"),
     ],
 )
-def test_a_slip_in_toml_is_named_by_its_path(old: str, new: str, said: str, tmp_path: Path) -> None:
+def test_error_in_toml_names_its_path(old: str, new: str, said: str, tmp_path: Path) -> None:
     broken = tmp_path / "broken.toml"
     broken.write_text(EXAMPLE.read_text().replace(old, new, 1))
     with pytest.raises(config.ConfigError) as caught:
@@ -80,14 +80,17 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "made"), [("config.schema.json", schema.platform), ("config.toml.schema.json", schema.by_hand)]
+    ("name", "generate"),
+    [("config.schema.json", schema.platform), ("config.toml.schema.json", schema.by_hand)],
 )
-def test_the_schema_that_is_shipped_is_that_of_the_types(name: str, made: Any) -> None:
-    assert json.loads((ROOT / "docs" / name).read_text()) == made()
+def test_shipped_schema_equals_the_generated_one(name: str, generate: Any) -> None:
+    assert json.loads((ROOT / "docs" / name).read_text()) == generate()
 
 
-def test_show_names_every_figure_with_its_source(file: Path) -> None:
-    code, said, _ = typed("config", "show", "--json", str(file), environment={"PROXY_MGMT": "127.0.0.1:7"})
+def test_config_show_lists_every_value_with_its_source(config_file: Path) -> None:
+    code, said, _ = typed(
+        "config", "show", "--json", str(config_file), environment={"PROXY_MGMT": "127.0.0.1:7"}
+    )
     rows = json.loads(said)
     assert code == 0
     assert rows["mgmt"] == {"value": "127.0.0.1:7", "source": "PROXY_MGMT"}
@@ -97,18 +100,18 @@
     assert len([path for path in rows if path.startswith("settings.categories[")]) == fields
 
 
-def test_diff_tells_what_a_sighup_would_take(file: Path, tmp_path: Path) -> None:
-    told, new = json.loads(file.read_text()), tmp_path / "new.json"
-    told["settings"]["Limits"]["MaxAttempts"] = 2
-    told["listen"] = "127.0.0.1:9"
-    new.write_text(json.dumps(told))
-    code, said, _ = typed("config", "diff", str(file), str(new))
+def test_config_diff_shows_what_a_reload_would_apply(config_file: Path, tmp_path: Path) -> None:
+    content, new = json.loads(config_file.read_text()), tmp_path / "new.json"
+    content["settings"]["Limits"]["MaxAttempts"] = 2
+    content["listen"] = "127.0.0.1:9"
+    new.write_text(json.dumps(content))
+    code, said, _ = typed("config", "diff", str(config_file), str(new))
     assert code == 0 and said.splitlines()[-1] == "SIGHUP would apply it"
     assert "settings.limits.max_attempts: 5 -> 2\n" in said
     assert "listen: 127.0.0.1:0 -> 127.0.0.1:9  (not before the next start)" in said
-    del told["settings"]["Limits"]["Probes"]
-    new.write_text(json.dumps(told))
-    code, said, _ = typed("config", "diff", str(file), str(new))
+    del content["settings"]["Limits"]["Probes"]
+    new.write_text(json.dumps(content))
+    code, said, _ = typed("config", "diff", str(config_file), str(new))
     assert code == 1 and "reject it: settings.Limits.Probes is missing" in said
 
 
@@ -124,57 +127,57 @@
         (("nonsense",), 2),
     ],
 )
-def test_bad_input_is_one_plain_line_and_an_exit_code(words: tuple[str, ...], code: int) -> None:
-    ended, said, complaint = typed(*words)
-    assert (ended, said, complaint.count("\n")) == (code, "", 1)
-    assert complaint.startswith("sprucenotch: ")
+def test_bad_input_gives_one_error_line_and_an_exit_code(words: tuple[str, ...], code: int) -> None:
+    ended, said, stderr = typed(*words)
+    assert (ended, said, stderr.count("\n")) == (code, "", 1)
+    assert stderr.startswith("sprucenotch: ")
 
 
-def test_the_sidecar_itself_imports_neither_the_command_line_nor_the_rig() -> None:
+def test_sidecar_imports_neither_command_line_nor_testbed() -> None:
     code = "import sys, sprucenotch.__main__, sprucenotch.node.serve; print(*sys.modules)"
     done = subprocess.run((sys.executable, "-c", code), cwd=ROOT, capture_output=True, text=True, check=True)
     own = {f"sprucenotch.{part}" for part in ("cli", "config", "rig", "sim", "node.metrics")}
     assert not set(done.stdout.split()) & ({"typer", "rich", "tomllib", "json"} | own)
 
 
-def test_status_tells_of_a_running_sidecar_and_says_who_does_not_answer() -> None:
+def test_status_shows_a_running_sidecar_and_reports_one_that_does_not_answer() -> None:
     async def test() -> None:
-        shape = plan.Plan("", 1.0, 0.0, plan.Fleet(sidecars=1, engines=3), plan.Load(), plan.CLASSES)
-        async with Stage(shape, seed=1) as stage:
+        demo_plan = plan.Plan("", 1.0, 0.0, plan.Fleet(sidecars=1, engines=3), plan.Load(), plan.CLASSES)
+        async with Stage(demo_plan, seed=1) as stage:
             mgmt = stage.sidecars["sidecar-0"].mgmt
             code, said, _ = await asyncio.to_thread(typed, "status", "--json", mgmt)
-            told = json.loads(said)
-            assert (code, told["ready"], told["telemetry"]["known_quote_engines"]) == (0, True, 3)
-            assert told["metrics"]["engines/known"] == 3
+            content = json.loads(said)
+            assert (code, content["ready"], content["telemetry"]["known_quote_engines"]) == (0, True, 3)
+            assert content["metrics"]["engines/known"] == 3
             code, said, _ = await asyncio.to_thread(typed, "status", mgmt)
             assert code == 0 and "ready" in said and "place-order" in said
-        ended, _, complaint = typed("status", mgmt)
-        assert ended == 3 and complaint.startswith(f"sprucenotch: no answer from {mgmt}")
+        ended, _, stderr = typed("status", mgmt)
+        assert ended == 3 and stderr.startswith(f"sprucenotch: no answer from {mgmt}")
 
     run(test())
 
 
-def test_an_address_in_use_is_one_plain_line_and_a_code_of_its_own(file: Path) -> None:
+def test_address_in_use_gives_one_error_line_and_exit_code_3(config_file: Path) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
-        told = json.loads(file.read_text()) | {"listen": f"127.0.0.1:{taken.getsockname()[1]}"}
-        file.write_text(json.dumps(told))
-        ended, said, complaint = typed("serve", str(file))
-    assert (ended, said) == (3, "") and "in use" in complaint and "Traceback" not in complaint
+        content = json.loads(config_file.read_text()) | {"listen": f"127.0.0.1:{taken.getsockname()[1]}"}
+        config_file.write_text(json.dumps(content))
+        ended, said, stderr = typed("serve", str(config_file))
+    assert (ended, said) == (3, "") and "in use" in stderr and "Traceback" not in stderr
 
 
-def test_the_demo_plays_its_day_and_stops_by_itself() -> None:
+def test_demo_runs_and_stops_by_itself() -> None:
     code, said, _ = typed("demo", "--for", "3", "--json", "--trouble", "errors", "--load", "0.4")
-    told = json.loads(said)
-    assert code == 0 and set(told["classes"]) == {"price-check", "place-order"}
-    assert all(outcomes["served"] > 0 for outcomes in told["classes"].values())
+    content = json.loads(said)
+    assert code == 0 and set(content["classes"]) == {"price-check", "place-order"}
+    assert all(outcomes["served"] > 0 for outcomes in content["classes"].values())
 
 
-def test_troubles_overlap_and_end_without_a_trace() -> None:
+def test_overlapping_named_faults_end_without_a_trace() -> None:
     async def test() -> None:
-        shape = plan.Plan("", 1.0, 0.0, plan.Fleet(sidecars=1, engines=6), plan.Load(), plan.CLASSES)
-        async with Stage(shape, seed=1) as stage:
+        demo_plan = plan.Plan("", 1.0, 0.0, plan.Fleet(sidecars=1, engines=6), plan.Load(), plan.CLASSES)
+        async with Stage(demo_plan, seed=1) as stage:
             faults = Faults(stage)
             troubles, others = FaultSwitches(faults), FaultSwitches(faults)
             for turned in (troubles, others):
@@ -191,7 +194,7 @@
     run(test())
 
 
-def test_a_part_that_may_be_left_out_has_its_units_and_its_mistakes_by_path() -> None:
+def test_optional_section_has_units_and_errors_by_path() -> None:
     raw = EXAMPLE.read_bytes() + b'\n[state]\ndir = "/srv/one"\nsync = "2s"\n'
     assert toml.decode(raw)["state"] == {"dir": "/srv/one", "sync_ns": 2 * 10**9}
     for line, said in (
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, as Linux documents them: no request is lost or refused for one."""
+"""System calls that fail temporarily with documented errors do not make requests get lost or refused."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(folder: Path, **changes: Any) -> AsyncIterator[tuple[Endpoint, Program]]:
-    """A sidecar that takes clients, and the server behind it."""
+    """A ready sidecar and its server."""
     async with (
         endpoint(always_ok) as served,
         endpoint(nothing_new) as discovery,
@@ -54,8 +54,8 @@
 
 
 async def raw_answer(address: str, raw: bytes) -> bytes:
-    """Connect, send, and read to the end of the connection or of the first piece; empty where it is closed
-    or reset unanswered."""
+    """Connect, send, and return the first piece of the answer; empty if the connection is closed or reset
+    without one."""
     host, _, port = address.rpartition(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -67,12 +67,12 @@
     return answer
 
 
-def test_accept_that_fails_for_a_moment_closes_no_client_unanswered(tmp_path: Path) -> None:
-    """Clients one after another, then all at once."""
+def test_temporary_accept_failure_leaves_no_client_unanswered(tmp_path: Path) -> None:
+    """Clients one after another, then concurrently."""
 
     async def test() -> None:
         async with serving(tmp_path) as (_, sidecar):
-            listen = sidecar.told["listen"]
+            listen = sidecar.configuration["listen"]
             for error in ACCEPT_ERRORS:
                 sidecar.control.fail(Rule(Call.ACCEPT, error, 2))
                 answers = [await raw_answer(listen, request()) for _ in range(CLIENTS)]
@@ -85,7 +85,7 @@
 
 
 class FailingListener(socket.socket):
-    """One of five calls to accept fails."""
+    """A listener whose accept fails at one of five calls."""
 
     error = 0
     calls = 0
@@ -97,8 +97,8 @@
         return super().accept()
 
 
-def test_accept_that_fails_as_the_listener_closes_resets_none_that_wait() -> None:
-    """The loop stands still over the end of the time for new connections, and clients come meanwhile."""
+def test_accept_failure_while_the_listener_closes_resets_no_waiting_client() -> None:
+    """The loop is blocked while the time for new connections ends, and clients connect meanwhile."""
 
     async def closes(error: int) -> list[bytes]:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -108,13 +108,13 @@
             await listening(listener)
             acceptor = accepting(node, listener)
             clients = [socket.create_connection(listener.getsockname()) for _ in range(30)]
-            for one in clients:
-                one.sendall(request())
-                one.setblocking(False)
+            for client in clients:
+                client.sendall(request())
+                client.setblocking(False)
             await acceptor.close()
-            answers = [await received(loop, one) for one in clients]
-            for one in clients:
-                one.close()
+            answers = [await received(loop, client) for client in clients]
+            for client in clients:
+                client.close()
             return [answer[:12] for answer in answers]
 
     async def test() -> None:
@@ -125,7 +125,7 @@
 
 
 async def received(loop: asyncio.AbstractEventLoop, client: socket.socket) -> bytes:
-    """The first piece of an answer; empty where the connection ended."""
+    """The first piece of an answer; empty if the connection ended."""
     try:
         return await loop.sock_recv(client, 1000)
     except ConnectionError:
@@ -138,15 +138,15 @@
 }
 
 
-def test_a_connection_that_fails_for_a_local_reason_is_tried_again_and_refuses_nobody(tmp_path: Path) -> None:
-    """With nine seconds left; the failures are not the server's, so none counts against it either."""
+def test_connect_that_fails_locally_is_retried_and_refuses_no_request(tmp_path: Path) -> None:
+    """Nine seconds remain until the deadline; the failures are local and do not count against the server."""
 
     async def test() -> None:
         async with serving(tmp_path) as (served, sidecar):
-            listen = sidecar.told["listen"]
+            listen = sidecar.configuration["listen"]
             for call, errors in LOCAL_FAILURES.items():
                 for error in errors:
-                    served.close_all()  # so that connections are made anew
+                    served.close_all()  # so that new connections are needed
                     sidecar.control.fail(Rule(call, error, 2))
                     answers = await asyncio.gather(*(raw_answer(listen, request()) for _ in range(CLIENTS)))
                     codes = [answer[:12] for answer in answers]
@@ -157,9 +157,9 @@
     run(test())
 
 
-async def taken(sidecar: Program, figure: str, count: int) -> None:
-    """Wait until the program tells that figure."""
-    while (await figures(sidecar.told["mgmt"]))[figure] != count:
+async def wait_for_figure(sidecar: Program, figure: str, count: int) -> None:
+    """Wait until that telemetry figure has this value."""
+    while (await figures(sidecar.configuration["mgmt"]))[figure] != count:
         await asyncio.sleep(0.01)
 
 
@@ -168,26 +168,26 @@
     return told
 
 
-def test_a_new_configuration_that_cannot_be_opened_for_a_moment_is_taken_in_the_end(tmp_path: Path) -> None:
-    """The file is proper, and nobody signals again."""
+def test_reload_with_temporarily_unreadable_file_is_applied_later(tmp_path: Path) -> None:
+    """The file is valid, and no second signal is sent."""
 
     async def test() -> None:
         async with serving(tmp_path, mgmt=dead_dial()) as (_, sidecar):
-            await figures(sidecar.told["mgmt"])
+            await figures(sidecar.configuration["mgmt"])
             for number, error in enumerate((errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO), 1):
                 sidecar.control.fail(Rule(Call.OPEN, error, 1))
                 sidecar.process.send_signal(signal.SIGHUP)
                 while sidecar.control.failed(Call.OPEN) < 2:
                     await asyncio.sleep(0.001)
                 sidecar.control.heal(Call.OPEN)
-                await taken(sidecar, "loads", number)
-            assert (await figures(sidecar.told["mgmt"]))["load_errors"] == 0
+                await wait_for_figure(sidecar, "loads", number)
+            assert (await figures(sidecar.configuration["mgmt"]))["load_errors"] == 0
 
     run(test())
 
 
-def test_a_start_goes_on_where_its_calls_fail_for_a_moment(tmp_path: Path) -> None:
-    """Binding, listening, and the peers' socket; each fails once or more."""
+def test_start_with_temporary_call_failures_succeeds(tmp_path: Path) -> None:
+    """bind, listen and the socket for peers each fail at least once."""
 
     async def test() -> None:
         rules = [Rule(call, errno.ENOBUFS, 2) for call in (Call.BIND, Call.LISTEN, Call.SOCKET)]
@@ -211,9 +211,9 @@
     run(test())
 
 
-def test_a_signal_to_reload_before_the_program_can_act_on_it_does_not_end_it(tmp_path: Path) -> None:
-    """Sent from the first moment of the process on; by the platform's command, and with the interpreter in
-    the place of its own."""
+def test_reload_signal_before_its_handler_is_installed_does_not_end_the_program(tmp_path: Path) -> None:
+    """Signals are sent from the start of the process on. It is started with the platform's command, but with
+    this interpreter."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     words = deploy["run"].replace(".venv/bin/python", sys.executable)
 
@@ -227,7 +227,7 @@
             )
             try:
                 ready = asyncio.ensure_future(answers(told["listen"]))
-                await asyncio.sleep(0.02)  # the shell is through its first command
+                await asyncio.sleep(0.02)  # the shell has run its first command, trap
                 while not ready.done() and process.returncode is None:
                     process.send_signal(signal.SIGHUP)
                     process.send_signal(signal.SIGUSR1)
@@ -245,12 +245,12 @@
     return (await (await connected(listen)).ask(UP))[0] == 200
 
 
-def test_an_answer_that_cannot_be_written_for_a_moment_is_written_in_the_end(tmp_path: Path) -> None:
-    """The kernel has no buffer (ENOBUFS, as send(2) documents it) for one of two writes."""
+def test_answer_with_temporary_write_failure_is_delivered(tmp_path: Path) -> None:
+    """One of two writes fails with ENOBUFS, as documented in send(2)."""
 
     async def test() -> None:
         async with serving(tmp_path) as (_, sidecar):
-            listen = sidecar.told["listen"]
+            listen = sidecar.configuration["listen"]
             sidecar.control.fail(Rule(Call.WRITE, errno.ENOBUFS, 2))
             answers = [await raw_answer(listen, request()) for _ in range(CLIENTS)]
             assert [answer[:12] for answer in answers] == [b"HTTP/1.1 200"] * CLIENTS
@@ -258,8 +258,8 @@
     run(test())
 
 
-def test_a_signal_whose_wake_up_of_the_loop_fails_is_acted_on(tmp_path: Path) -> None:
-    """The interpreter tells the loop of a signal by a write to a socket, which may fail like any other."""
+def test_signal_whose_loop_wake_up_fails_is_handled(tmp_path: Path) -> None:
+    """The interpreter wakes the loop for a signal by a write to a socket, which may fail."""
 
     async def test() -> None:
         async with serving(tmp_path) as (_, sidecar):
--- a/tests/test_failing_handover.py
+++ b/tests/test_failing_handover.py
@@ -1,9 +1,8 @@
-"""The call for what the process before has learned goes on where its transfers fail for want of memory.
+"""The call by which a successor fetches the state of its predecessor survives failing reads and writes.
 
-What happened: the call went through the event library's transport, which ends its connection at the first
-read or write that fails with ENOBUFS or ENOMEM. A successor then began without the list, and waited for
-discovery. What showed it: `not recalled ... by: call` in the log, and a successor that took clients only
-after 5 s with discovery silent.
+Guards against a lost hand-over: the transport of the event loop library closes its connection at the first
+read or write that fails with ENOBUFS or ENOMEM. A successor then started without the server list and, with
+discovery silent, accepted clients only after 5 s. The log showed `not recalled ... by: call`.
 """
 
 from __future__ import annotations
@@ -21,8 +20,8 @@
 pytestmark = needs_compiler
 
 
-def test_a_successor_takes_over_the_list_though_its_transfers_fail(tmp_path: Path) -> None:
-    """Discovery is silent for the successor: without the list it would take no clients for START_TIMEOUT."""
+def test_successor_gets_the_list_despite_failing_transfers(tmp_path: Path) -> None:
+    """Discovery is silent, so that without the list the successor accepts no clients for START_TIMEOUT."""
 
     async def test() -> None:
         for name, rules in {
--- a/tests/test_failing_transfers.py
+++ b/tests/test_failing_transfers.py
@@ -1,12 +1,11 @@
-"""Reads and writes on sockets that fail for want of memory: every request gets its whole answer.
-
-What happens: the kernel has no memory for one of n transfers (ENOBUFS, ENOMEM; recv(2) and send(2)
-document both). Why it lost requests: the event library's transport takes the first such failure for the
-end of its connection. A client's answer was cut off or never began, and an answer of a server was thrown
-away in the middle, which is a 502 for a class that may not be repeated. What showed it: with one of 5
-writes failing, 12 of 20 clients lost a request, with one of 5 reads 16 of 20; for reads the library
-printed `Fatal error on transport TCPTransport` and `unhandled error (or an empty buffer) in
-get_buffer()`, for writes nothing.
+"""Socket reads and writes that fail temporarily for lack of memory do not lose requests.
+
+The kernel may lack memory for a transfer (ENOBUFS, ENOMEM; documented in recv(2) and send(2)). Guards against
+the transport of the event loop library, which closes its connection at the first such error: answers to
+clients were cut off or never begun, and answers of servers were dropped halfway, which is a 502 for a class
+that must not be repeated. With one of 5 writes failing, 12 of 20 clients lost a request, with one of 5 reads
+16 of 20. For reads the library printed `Fatal error on transport TCPTransport` and `unhandled error (or an
+empty buffer) in get_buffer()`, for writes nothing.
 """
 
 from __future__ import annotations
@@ -20,10 +19,10 @@
 
 pytestmark = needs_compiler
 OUT_OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-NO_WATCHES = (errno.ENOMEM, errno.ENOSPC)
+EPOLL_CTL_ERRORS = (errno.ENOMEM, errno.ENOSPC)
 
 
-async def no_request_is_lost_where(call: Call, errors: tuple[int, ...], folder: Path) -> None:
+async def check_no_request_is_lost(call: Call, errors: tuple[int, ...], folder: Path) -> None:
     async with serving_sizes(folder) as sidecar:
         for error in errors:
             for every in (5, 2):
@@ -34,22 +33,22 @@
                 sidecar.control.heal(call)
 
 
-def test_no_request_is_lost_where_writes_fail_for_want_of_memory(tmp_path: Path) -> None:
-    run(no_request_is_lost_where(Call.WRITE, OUT_OF_MEMORY, tmp_path))
+def test_writes_that_fail_for_lack_of_memory_lose_no_request(tmp_path: Path) -> None:
+    run(check_no_request_is_lost(Call.WRITE, OUT_OF_MEMORY, tmp_path))
 
 
-def test_no_request_is_lost_where_reads_fail_for_want_of_memory(tmp_path: Path) -> None:
-    run(no_request_is_lost_where(Call.READ, OUT_OF_MEMORY, tmp_path))
+def test_reads_that_fail_for_lack_of_memory_lose_no_request(tmp_path: Path) -> None:
+    run(check_no_request_is_lost(Call.READ, OUT_OF_MEMORY, tmp_path))
 
 
-def test_no_request_is_lost_where_readiness_cannot_be_asked_for(tmp_path: Path) -> None:
-    """epoll_ctl fails, as epoll_ctl(2) documents it. The event library ended the process with SIGABRT."""
-    run(no_request_is_lost_where(Call.EPOLL_CTL, NO_WATCHES, tmp_path))
+def test_failing_epoll_ctl_loses_no_request(tmp_path: Path) -> None:
+    """epoll_ctl(2) fails with documented errors. The event loop library aborted the process (SIGABRT)."""
+    run(check_no_request_is_lost(Call.EPOLL_CTL, EPOLL_CTL_ERRORS, tmp_path))
 
 
-def test_no_request_is_lost_where_waits_are_interrupted(tmp_path: Path) -> None:
-    """Every second wait returns EINTR. The program's own epoll was asked once in each turn of the loop,
-    right after the loop's own wait: of two calls the second always failed, and the program was deaf until
+def test_interrupted_waits_lose_no_request(tmp_path: Path) -> None:
+    """Every second wait returns EINTR. The program polls its own epoll once in each loop iteration, right
+    after the wait of the loop: the second of two calls always failed, so that the program saw no events until
     the fault ended (hunt, seed 412: answers 0.4 s after their deadlines, and no status event for 2 s)."""
 
     async def test() -> None:
@@ -62,10 +61,10 @@
     run(test())
 
 
-def test_a_process_that_is_done_ends_with_0_though_nothing_can_be_watched_any_more(tmp_path: Path) -> None:
-    """The runner of the event library started its loop twice more after the last answer, for generators and
-    threads that there are none of, and each start registers a descriptor: exit code 1 and a trace, `Cannot
-    close a running event loop`."""
+def test_shutdown_with_failing_epoll_ctl_exits_with_0(tmp_path: Path) -> None:
+    """The runner of the event loop library starts its loop twice more at shutdown, for generators and
+    threads, and each start registers a descriptor. When that failed, the exit code was 1 with `Cannot close a
+    running event loop`."""
 
     async def test() -> None:
         async with serving_sizes(tmp_path) as sidecar:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -8,7 +8,7 @@
 import pytest
 
 
-def test_the_example_runs_and_sends(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_runs_and_prints_send(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     [code] = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     exec(compile(code, "README.md", "exec"), {})
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -1,9 +1,7 @@
-"""The record of a disk's operations, by which a power cut is judged, is whole whatever the disk's own calls
-do.
+"""The record of disk operations, which simulated power cuts are based on, stays complete when writes fail.
 
-What happened: runs of the hunt that met a power cut and short writes crashed with `msgspec.DecodeError:
-Input data was truncated` and did not count. Why: the record is written by the process under test, whose
-short writes tore it.
+Guards against a torn record: the process under test writes it, so that injected short writes truncated it,
+and runs with a power cut crashed with `msgspec.DecodeError: Input data was truncated`.
 """
 
 from __future__ import annotations
@@ -25,7 +23,7 @@
 from tests.failing_calls import needs_compiler
 
 WRITES = 20
-KEEPS = """
+WRITER = """
 import contextlib, sys
 from pathlib import Path
 from sprucenotch.seams.disk import RealDisk
@@ -40,10 +38,10 @@
 """
 
 
-def test_a_record_whose_writes_are_short_is_whole(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    real = os.write
+def test_record_is_complete_after_short_writes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    real_write = os.write
     recorded = Recorded(RealDisk(tmp_path), tmp_path / "sidecar.operations")
-    monkeypatch.setattr(os, "write", lambda fd, data: real(fd, bytes(data)[:7]))
+    monkeypatch.setattr(os, "write", lambda fd, data: real_write(fd, bytes(data)[:7]))
     recorded.tell(Operation("open", "journal"))
     for number in range(WRITES):
         recorded.tell(Operation("write", "journal", data=b"%04d" % number))
@@ -53,14 +51,14 @@
 
 
 @needs_compiler
-def test_a_record_is_spared_where_the_writes_of_its_process_fail(tmp_path: Path) -> None:
+def test_record_is_complete_when_file_writes_of_the_process_fail(tmp_path: Path) -> None:
     control = Control(syscalls.build(tmp_path), tmp_path / "calls")
     environment = {**os.environ, **control.environment}
     for name, error in {"short": SHORT, "full": errno.ENOSPC, "broken": errno.EIO}.items():
         control.fail(Rule(Call.FILE_WRITE, error, 2))
         folder, record = tmp_path / name, tmp_path / f"{name}.operations"
         folder.mkdir()
-        subprocess.run((sys.executable, "-c", KEEPS, folder, record), env=environment, cwd=ROOT, check=True)
+        subprocess.run((sys.executable, "-c", WRITER, folder, record), env=environment, cwd=ROOT, check=True)
         assert replay(record.read_bytes()).read("journal") == (folder / "journal").read_bytes(), name
         assert control.failed(Call.FILE_WRITE) > 0
     control.close()
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""The stand-ins by themselves, and once with a real sidecar between them."""
+"""Unit tests of the simulated engine and discovery service."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 WORK = {b"look": Work(0.001)}
 
 
-def ask(engine: Engine, answers: list[bytes]) -> None:
+def send(engine: Engine, answers: list[bytes]) -> None:
     engine._handle(
         Request(b"GET", b"/api", b"", {b"req-kind": b"look", b"req-id": b"1"}, b""), answers.append
     )
 
 
-def test_an_engine_serves_its_slots_holds_its_queue_and_declines_the_rest() -> None:
+def test_engine_serves_its_slots_fills_its_queue_and_declines_the_rest() -> None:
     async def test() -> None:
         engine, answers = Engine("e", "z", WORK, slots=2, queue=3, seed=1), list[bytes]()
         for _ in range(7):
-            ask(engine, answers)
+            send(engine, answers)
         assert (engine.busy, engine.held, answers) == (2, 5, [DECLINED, DECLINED])
         while engine.held:
             await asyncio.sleep(0)
@@ -32,14 +32,14 @@
     run(test())
 
 
-def test_what_a_dead_engine_had_begun_ends_nowhere() -> None:
+def test_requests_of_a_killed_engine_are_never_answered() -> None:
     async def test() -> None:
         engine, answers = Engine("e", "z", WORK, slots=1, queue=3, seed=1), list[bytes]()
-        ask(engine, answers)
-        ask(engine, answers)
+        send(engine, answers)
+        send(engine, answers)
         engine.up = True
         await engine.die()
-        ask(engine, answers)
+        send(engine, answers)
         while engine.held:
             await asyncio.sleep(0)
         assert (engine.served, len(answers)) == (1, 1)
@@ -48,16 +48,16 @@
 
 
 def watch(discovery: Discovery, query: bytes) -> asyncio.Future[bytes]:
-    told: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-    discovery._handle("", Request(b"GET", b"/discovery/hosts", query, {}, b""), told.set_result)
-    return told
+    answered: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+    discovery._handle("", Request(b"GET", b"/discovery/hosts", query, {}, b""), answered.set_result)
+    return answered
 
 
 def entry(name: str) -> Entry:
     return Entry(host=name, dial="127.0.0.1:1", site="z", block=0, health="up", share=1.0, born_ms=0)
 
 
-def test_a_watch_waits_for_the_change_and_one_from_nowhere_gets_the_whole_list() -> None:
+def test_watch_waits_for_a_change_and_unknown_version_gets_the_full_list() -> None:
     async def test() -> None:
         discovery = Discovery()
         await discovery.tell(entry("engine-0"))
@@ -65,15 +65,15 @@
         await asyncio.sleep(0)
         assert not waiting.done()
         await discovery.tell(entry("engine-1"))
-        told = json.loads((await waiting).partition(b"\r\n\r\n")[2])
-        assert (told["seq"], told["whole"], [h["host"] for h in told["hosts"]]) == (2, False, ["engine-1"])
-        told = json.loads((await watch(discovery, b"from=77&hold_ms=9000")).partition(b"\r\n\r\n")[2])
-        assert told["whole"] and len(told["hosts"]) == 2
+        body = json.loads((await waiting).partition(b"\r\n\r\n")[2])
+        assert (body["seq"], body["whole"], [h["host"] for h in body["hosts"]]) == (2, False, ["engine-1"])
+        body = json.loads((await watch(discovery, b"from=77&hold_ms=9000")).partition(b"\r\n\r\n")[2])
+        assert body["whole"] and len(body["hosts"]) == 2
 
     run(test())
 
 
-def test_a_replica_that_is_behind_answers_by_an_older_list_until_it_has_caught_up() -> None:
+def test_stale_replica_answers_with_an_older_list_until_it_catches_up() -> None:
     async def test() -> None:
         discovery = Discovery()
         for number in range(3):
@@ -89,18 +89,18 @@
         await asyncio.sleep(0)
         assert not waiting.done()
         await discovery.behind(0.0)
-        assert told(await waiting) == (4, False, ["engine-2", "engine-0"])
+        assert parse_list(await waiting) == (4, False, ["engine-2", "engine-0"])
         assert (await answer(discovery, b"")) == (4, True, ["engine-1", "engine-2"])
         await discovery.die()
 
     run(test())
 
 
-def told(raw: bytes) -> tuple[int, bool, list[str]]:
-    """Version, whether it is the whole list, and the engines that it names."""
-    answered = json.loads(raw.partition(b"\r\n\r\n")[2])
-    return answered["seq"], answered["whole"], [host["host"] for host in answered["hosts"]]
+def parse_list(raw: bytes) -> tuple[int, bool, list[str]]:
+    """Version, whether it is the full list, and the names of the engines in it."""
+    body = json.loads(raw.partition(b"\r\n\r\n")[2])
+    return body["seq"], body["whole"], [host["host"] for host in body["hosts"]]
 
 
 async def answer(discovery: Discovery, query: bytes) -> tuple[int, bool, list[str]]:
-    return told(await watch(discovery, query))
+    return parse_list(await watch(discovery, query))
