--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -17,7 +17,7 @@
 
 import uvloop
 
-from sprucenotch.rig.client import Ask, Clients, Ended, Kind
+from sprucenotch.rig.client import ClientCall, Clients, Ended, Kind
 from sprucenotch.rig.engine import Engine, Work
 from sprucenotch.rig.net.link import Link
 from sprucenotch.rig.net.relay import Relay
@@ -45,7 +45,7 @@
         if (now := time.monotonic()) < due:
             await asyncio.sleep(due - now)
         lateness.append(max(0.0, time.monotonic() - due))
-        clients.send(Ask(KIND))
+        clients.send(ClientCall(KIND))
         sent += 1
     await clients.finish()
     relay.close()
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -22,7 +22,7 @@
 
 import uvloop
 
-from sprucenotch.rig.client import Ask, Clients, Ended
+from sprucenotch.rig.client import ClientCall, Clients, Ended
 from sprucenotch.rig.load import kind
 from sprucenotch.rig.plan import Class, Fleet, Load, Plan
 from sprucenotch.rig.revision import ROOT, Program, Programs
@@ -59,7 +59,7 @@
         latencies.append(ended.took * 1000)
 
     clients = Clients(dial, report)
-    asks = [Ask(kind(cls)) for cls in CLASSES]
+    asks = [ClientCall(kind(cls)) for cls in CLASSES]
 
     async def connection() -> None:
         while len(latencies) < requests:
--- a/sprucenotch/rig/client.py
+++ b/sprucenotch/rig/client.py
@@ -136,12 +136,12 @@
             waiting.set_result(reply)
 
 
-class Ask(NamedTuple):
+class ClientCall(NamedTuple):
     """One logical call of a client, which may take several requests."""
 
     kind: Kind
     owner: str = ""
-    call: str = ""  # unique name, and the idempotency key of a keyed call
+    name: str = ""  # unique, and the idempotency key of a keyed call
     due: float = 0.0  # when it was to be sent, on the monotonic clock
     repeat: int = 0  # number of earlier requests for the same call
 
@@ -168,9 +168,9 @@
         self._churn, self._random = churn, random.Random(f"churn {name}").random
         self._in_flight: set[asyncio.Task[Ended]] = set()
 
-    def send(self, ask: Ask) -> asyncio.Task[Ended]:
+    def send(self, call: ClientCall) -> asyncio.Task[Ended]:
         """Start a request; it ends at most LISTEN_ON after its deadline."""
-        task = asyncio.get_running_loop().create_task(self.ask(ask))
+        task = asyncio.get_running_loop().create_task(self.ask(call))
         self._in_flight.add(task)
         task.add_done_callback(self._in_flight.discard)
         return task
@@ -178,22 +178,22 @@
     def _now(self) -> float:
         return time.monotonic() - self._origin
 
-    async def ask(self, ask: Ask) -> Ended:
+    async def ask(self, call: ClientCall) -> Ended:
         self._number += 1
         id, began = f"{self._name}-{self._number}", self._now()
         try:
-            async with asyncio.timeout(ask.kind.deadline + LISTEN_ON):
-                reply = await self._exchange(ask, id)
+            async with asyncio.timeout(call.kind.deadline + LISTEN_ON):
+                reply = await self._exchange(call, id)
         except TimeoutError:
             reply = Reply("silent")
         at, body = self._now(), reply.body.decode("latin-1")
         self._witness(history.Ended(at=at, id=id, status=reply.status, body=body, how=reply.how))
-        ended = Ended(ask.kind, reply.status, at - began, reply.retry_after)
+        ended = Ended(call.kind, reply.status, at - began, reply.retry_after)
         self._report(ended)
         return ended
 
-    async def _exchange(self, ask: Ask, id: str) -> Reply:
-        raw, loop = self._encode(ask, id), asyncio.get_running_loop()
+    async def _exchange(self, call: ClientCall, id: str) -> Reply:
+        raw, loop = self._encode(call, id), asyncio.get_running_loop()
         connection = self._take_idle()
         while True:
             if connection is None:
@@ -202,10 +202,10 @@
                         lambda: _Connection(self._life(), self._surplus), *self._address
                     )
                 except OSError:
-                    self._record_sent(ask, id, self._life(), True)
+                    self._record_sent(call, id, self._life(), True)
                     return Reply("refused")
             reused, connection.used = connection.used, True
-            self._record_sent(ask, id, connection.life, not reused)
+            self._record_sent(call, id, connection.life, not reused)
             try:
                 reply = await connection.ask(id, raw)
             except asyncio.CancelledError:
@@ -220,13 +220,14 @@
                 self._idle.append(connection)
             return reply
 
-    def _record_sent(self, ask: Ask, id: str, life: int, fresh: bool) -> None:
+    def _record_sent(self, call: ClientCall, id: str, life: int, fresh: bool) -> None:
         at = self._now()
         self._witness(
             history.Sent(
-                at=at, id=id, call=ask.call or id, cls=ask.kind.name, owner=ask.owner, sidecar=self.sidecar,
-                key=(ask.call or id) if ask.kind.keyed else "", life=life, deadline=ask.kind.deadline,
-                due=ask.due - self._origin if ask.due else at, fresh=fresh, repeat=ask.repeat,
+                at=at, id=id, call=call.name or id, cls=call.kind.name, owner=call.owner,
+                sidecar=self.sidecar, key=(call.name or id) if call.kind.keyed else "", life=life,
+                deadline=call.kind.deadline, due=call.due - self._origin if call.due else at, fresh=fresh,
+                repeat=call.repeat,
             )
         )  # fmt: skip
 
@@ -241,17 +242,17 @@
                 return connection
         return None
 
-    def _encode(self, ask: Ask, id: str) -> bytes:
-        kind = ask.kind
+    def _encode(self, call: ClientCall, id: str) -> bytes:
+        kind = call.kind
         method = "POST" if kind.keyed or kind.unsafe else "GET"
         lines = [
             f"{method} /api HTTP/1.1", "Host: backend.local", f"Req-Id: {id}",
             f"Req-Kind: {kind.name}", f"Req-Deadline: {kind.deadline:.3f}",
         ]  # fmt: skip
-        if ask.owner:
-            lines.append(f"Req-Owner: {ask.owner}")
+        if call.owner:
+            lines.append(f"Req-Owner: {call.owner}")
         if kind.keyed:
-            lines.append(f"Idempotency-Key: {ask.call or id}")
+            lines.append(f"Idempotency-Key: {call.name or id}")
         body = BODY if kind.keyed or kind.unsafe else b""
         if body:
             lines.append(f"Content-Length: {len(body)}")
--- a/sprucenotch/rig/engine.py
+++ b/sprucenotch/rig/engine.py
@@ -30,7 +30,7 @@
         return self.mean * rng.lognormvariate(-sigma * sigma / 2, sigma)
 
 
-class Cold(NamedTuple):
+class WarmUp(NamedTuple):
     """Warm-up of an engine: it starts at `share` of its speed, which grows linearly for `seconds`."""
 
     share: float = 1.0
@@ -53,7 +53,7 @@
         slots: int,
         queue: int,
         seed: int,
-        cold: Cold = Cold(),  # noqa: B008 - immutable
+        cold: WarmUp = WarmUp(),  # noqa: B008 - immutable
         witness: Callable[[Ran], None] = lambda ran: None,
         origin: float = 0.0,
     ) -> None:
--- a/sprucenotch/rig/load.py
+++ b/sprucenotch/rig/load.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import NamedTuple
 
-from sprucenotch.rig.client import Ask, Clients, Ended, Kind
+from sprucenotch.rig.client import ClientCall, Clients, Ended, Kind
 from sprucenotch.rig.plan import SECOND, Class, Plan
 
 MAX_IN_FLIGHT = 2000  # calls; further arrivals are skipped, to bound the memory of the testbed
@@ -33,9 +33,9 @@
     call: str
 
 
-def arrivals(plan: Plan, seed: int, times: Callable[[], float]) -> Iterator[Arrival]:
-    """An endless Poisson process with the plan's rate multiplied by `times`, which is evaluated at each draw.
-    Everything else follows from the seed alone."""
+def arrivals(plan: Plan, seed: int, rate_factor: Callable[[], float]) -> Iterator[Arrival]:
+    """An endless Poisson process with the plan's rate multiplied by `rate_factor`, which is evaluated at each
+    draw. Everything else follows from the seed alone."""
     rng = random.Random(f"load {seed}")
     sidecars = [f"sidecar-{n}" for n in range(plan.fleet.sidecars)]
     weights = [(n + 1) ** -float(plan.load.skew) for n in range(len(sidecars))]
@@ -43,7 +43,7 @@
     owners, parts = [t.name for t in plan.load.tenants], [t.share for t in plan.load.tenants]
     for number in itertools.count():
         yield Arrival(
-            rng.expovariate(plan.rate * max(times(), 1e-3)), rng.choices(sidecars, weights)[0],
+            rng.expovariate(plan.rate * max(rate_factor(), 1e-3)), rng.choices(sidecars, weights)[0],
             rng.choices(kinds, shares)[0], rng.choices(owners, parts)[0] if owners else "", f"call-{number}",
         )  # fmt: skip
 
@@ -56,11 +56,11 @@
         plan: Plan,
         seed: int,
         clients: Mapping[str, Clients],
-        times: Callable[[], float],
+        rate_factor: Callable[[], float],
         report: Callable[[Ended], None],
     ) -> None:
         self.plan, self._clients, self._report = plan, clients, report
-        self._arrivals = arrivals(plan, seed, times)
+        self._arrivals = arrivals(plan, seed, rate_factor)
         self._rng = random.Random(f"repeats {seed}")
         self._tasks: set[asyncio.Task[None]] = set()
         self.late: list[float] = []  # seconds by which each request was sent late
@@ -88,7 +88,7 @@
         """Send one call, with its repeats."""
         load, clients = self.plan.load, self._clients[arrival.sidecar]
         for repeat in range(1 + (load.repeats if load.repeat != "never" else 0)):
-            ended = await clients.ask(Ask(arrival.kind, arrival.owner, arrival.call, due, repeat))
+            ended = await clients.ask(ClientCall(arrival.kind, arrival.owner, arrival.call, due, repeat))
             self._report(ended)
             if ended.outcome != "refused" or load.repeat == "never":
                 return
--- a/sprucenotch/rig/process.py
+++ b/sprucenotch/rig/process.py
@@ -83,7 +83,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
 
 
-class Child:
+class ChildProcess:
     """A child process of the testbed."""
 
     def __init__(
@@ -193,7 +193,7 @@
         self.process.wait()
 
 
-class SidecarProcess(Child):
+class SidecarProcess(ChildProcess):
     """Runs `command` in `cwd`, with PROXY_CONFIG naming a configuration file that is written first. Use it as
     a context manager. Without a `folder` it uses a temporary one."""
 
--- a/sprucenotch/rig/remote.py
+++ b/sprucenotch/rig/remote.py
@@ -12,19 +12,19 @@
 
 from sprucenotch.rig.discovery import Entry
 from sprucenotch.rig.engine import Engine
-from sprucenotch.rig.process import Child, ProcessError
+from sprucenotch.rig.process import ChildProcess, ProcessError
 from sprucenotch.rig.standin import MAX_LINE, Command, EngineSpec, Reply
 from sprucenotch.rig.truth.history import Event, Ran
 
 REPLY_TIMEOUT = 10.0  # seconds: a paused process replies when it is resumed
 
 
-class Remote:
+class RemoteProcess:
     """A fake server process and the commands to it. Its events go to `witness`."""
 
     def __init__(self, name: str, first: str, witness: Callable[[Any], None]) -> None:
         self.name, self._first, self._witness = name, first, witness
-        self.child: Child | None = None
+        self.child: ChildProcess | None = None
         self._last_number = 0
         self._replies: dict[int, asyncio.Future[Any]] = {}
         self._reader: asyncio.Task[None] | None = None
@@ -33,7 +33,7 @@
         self._first = first
         command = (sys.executable, "-m", "sprucenotch.rig.standin", first)
         # Every sidecar holds connections to it, and discovery has a listener for each sidecar.
-        self.child = Child(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, descriptors=None)
+        self.child = ChildProcess(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, descriptors=None)
         stream = asyncio.StreamReader(limit=MAX_LINE)
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(stream), self.child.process.stdout)
@@ -88,7 +88,7 @@
     def __init__(self, spec: EngineSpec, witness: Callable[[Ran], None]) -> None:
         self.name, self.zone, self.dial, self.life = spec.name, spec.zone, "", 0
         self._spec, self._witness = spec, witness
-        self.remote = Remote(spec.name, "", self._observe)
+        self.remote = RemoteProcess(spec.name, "", self._observe)
         self._in_progress: set[str] = set()
         self.up = self.draining = self.failing = self.silent = False
         self.twice = self.nonsense = self.endless = False
@@ -141,7 +141,7 @@
     """A `Discovery` in a separate process."""
 
     def __init__(self, witness: Callable[[Event], None], origin: float) -> None:
-        self.remote = Remote("discovery", "", witness)
+        self.remote = RemoteProcess("discovery", "", witness)
         self._origin = origin
         self.up = False
 
--- a/sprucenotch/rig/sidecar.py
+++ b/sprucenotch/rig/sidecar.py
@@ -22,7 +22,7 @@
     """A port reserved for a sidecar is in use."""
 
 
-class Reserved:
+class ReservedPort:
     """A free port kept for this run by a socket that is bound (SO_REUSEPORT) but never listens, so that the
     sidecar can listen on it."""
 
@@ -61,7 +61,10 @@
             now, witness, set_reachable, start_lock,
         )  # fmt: skip
         self._kill_timeout = max(3.0, longest_deadline) + KILL_AFTER
-        self._listen, self._mgmt = Reserved(), (Reserved(), Reserved())  # a successor has its own mgmt
+        self._listen, self._mgmt = (
+            ReservedPort(),
+            (ReservedPort(), ReservedPort()),
+        )  # a successor has its own mgmt
         self.program = Program()
         self.environment: Mapping[str, str] = {}  # added to that of the testbed
         self.lives: list[SidecarProcess] = []
--- a/sprucenotch/rig/stage.py
+++ b/sprucenotch/rig/stage.py
@@ -17,15 +17,15 @@
 
 from sprucenotch.rig import capacity, deployment, syscalls
 from sprucenotch.rig.discovery import Discovery, Entry
-from sprucenotch.rig.engine import Cold, Work
+from sprucenotch.rig.engine import WarmUp, Work
 from sprucenotch.rig.faults import ClockStep, OnProcesses, Pause, SlowCpu, SystemCalls
 from sprucenotch.rig.plan import SECOND, Plan, chosen, names
-from sprucenotch.rig.process import Child, RigError, allow_descriptors
+from sprucenotch.rig.process import ChildProcess, RigError, allow_descriptors
 from sprucenotch.rig.remote import AnyEngine, RemoteDiscovery, RemoteEngine
 from sprucenotch.rig.revision import Program, Programs
 from sprucenotch.rig.sidecar import Sidecar
 from sprucenotch.rig.standin import EngineSpec, engine
-from sprucenotch.rig.state import States
+from sprucenotch.rig.state import StateFolders
 from sprucenotch.rig.syscalls import Control
 from sprucenotch.rig.truth.history import Event, Process, Wrote
 from sprucenotch.rig.wiring import Network
@@ -107,7 +107,7 @@
             self._temporary = tempfile.TemporaryDirectory(prefix="rig-")
             self._folder = Path(self._temporary.name)
         fleet, sidecar_names = self.plan.fleet, [f"sidecar-{n}" for n in range(self.plan.fleet.sidecars)]
-        self.states = States(self.plan, self.seed, self._folder)
+        self.states = StateFolders(self.plan, self.seed, self._folder)
         if failing := {name for kind in (SystemCalls, ClockStep) for name in self._targets(kind)}:
             library = syscalls.build(self._folder)
             self.controls = {name: Control(library, self._folder / f"{name}.calls") for name in failing}
@@ -159,7 +159,7 @@
             name=f"{place}.{generation}" if generation else place, zone=self._zones[place],
             work={c.name: Work(c.work / SECOND, c.spread) for c in self.plan.classes},
             slots=fleet.slots, queue=fleet.queue, seed=self.rng.getrandbits(32),
-            cold=Cold(fleet.cold_share, fleet.cold_for / SECOND), origin=self.origin,
+            cold=WarmUp(fleet.cold_share, fleet.cold_for / SECOND), origin=self.origin,
         )  # fmt: skip
         return RemoteEngine(spec, self.witness) if self._engines_apart else engine(spec, self.witness)
 
@@ -181,7 +181,7 @@
         """Return the address at which the clients of a sidecar connect."""
         return self.wiring.dial("client", sidecar, self.sidecars[sidecar].listen)
 
-    def child(self, name: str) -> Child:
+    def child(self, name: str) -> ChildProcess:
         """Return the process of that name. Raises RigError if it has none of its own, or is not running."""
         if name in self.sidecars:
             return self.sidecars[name].process
--- a/sprucenotch/rig/standin.py
+++ b/sprucenotch/rig/standin.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 from sprucenotch.rig.discovery import Discovery
-from sprucenotch.rig.engine import Cold, Engine, Work
+from sprucenotch.rig.engine import Engine, WarmUp, Work
 from sprucenotch.rig.truth.history import Event, Ran
 
 MAX_LINE = 1 << 24  # bytes
@@ -32,7 +32,7 @@
     slots: int
     queue: int
     seed: int
-    cold: Cold
+    cold: WarmUp
     origin: float
     dial: str = ""  # its address before a restart
     life: int = 0
--- a/sprucenotch/rig/state.py
+++ b/sprucenotch/rig/state.py
@@ -12,7 +12,7 @@
 from sprucenotch.rig.volume import replay
 
 
-class States:
+class StateFolders:
     """Disk operations are recorded only if a fault of the plan is a power cut."""
 
     def __init__(self, plan: Plan, seed: int, folder: Path) -> None:
--- a/sprucenotch/rig/sweep.py
+++ b/sprucenotch/rig/sweep.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from sprucenotch.rig import revision
-from sprucenotch.rig.process import Child
+from sprucenotch.rig.process import ChildProcess
 from sprucenotch.rig.store import Row, Store
 
 TRACE = "trace.txt"  # file next to the logs of a run that could not be completed
@@ -77,7 +77,7 @@
     be completed; their traces and logs are left in the folder `evidence`. SIGINT and SIGTERM stop all running
     jobs and raise KeyboardInterrupt."""
     loop, stopped, failed = asyncio.get_running_loop(), asyncio.Event(), list[Failed]()
-    queue, children = list(jobs), set[Child]()
+    queue, children = list(jobs), set[ChildProcess]()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, stopped.set)
 
@@ -93,7 +93,7 @@
             if kept is not None:
                 arguments += ["--keep", str(kept)]
             with tempfile.TemporaryFile() as stderr:
-                child = Child((sys.executable, "-m", "sprucenotch", *arguments), stderr=stderr)
+                child = ChildProcess((sys.executable, "-m", "sprucenotch", *arguments), stderr=stderr)
                 children.add(child)
                 code = await child.wait()
                 children.discard(child)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,8 +12,8 @@
 from sprucenotch.cli.main import app
 from sprucenotch.rig import capacity, plan
 from sprucenotch.rig.capacity import MEGABYTE, CapacityError, Machine, Parts
-from sprucenotch.rig.process import Child
-from sprucenotch.rig.remote import Remote
+from sprucenotch.rig.process import ChildProcess
+from sprucenotch.rig.remote import RemoteProcess
 from sprucenotch.rig.stage import Stage
 from tests.sidecar import run
 
@@ -87,14 +87,14 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(2048, before[0]), before[1]))
 
     async def test() -> None:
-        remote = Remote("discovery", "", lambda event: None)
+        remote = RemoteProcess("discovery", "", lambda event: None)
         await remote.spawn("discovery 0.0")
         assert remote.child is not None
         try:
             assert resource.prlimit(remote.child.pid, resource.RLIMIT_NOFILE) == (before[1], before[1])
         finally:
             await remote.kill()
-        sidecar = Child((sys.executable, "-c", "input()"), stdin=subprocess.PIPE)
+        sidecar = ChildProcess((sys.executable, "-c", "input()"), stdin=subprocess.PIPE)
         try:
             assert resource.prlimit(sidecar.pid, resource.RLIMIT_NOFILE)[0] == min(1024, before[1])
         finally:
