--- a/sprucenotch/api.py
+++ b/sprucenotch/api.py
@@ -148,7 +148,7 @@
     expires: int  # time at which the client abandons this try
     hint: int  # expected work; 0: none
     repeat: bool  # marked by the client as a repeat
-    coming: bool = False  # the body is still being received: its deadline counts from Uploaded
+    uploading: bool = False  # the body is still being received: its deadline counts from Uploaded
 
 
 class Uploaded(NamedTuple):
@@ -208,7 +208,7 @@
 
     id: EndpointId
     started: int  # start time by the list; the state is void after another start
-    pace: float  # its latency relative to the mean of the request classes
+    relative_latency: float  # its latency relative to the mean of the request classes
     failure_rate: float  # share of failed attempts, 0 to 1
     last_answer_age: int  # time since its last answer; -1: never
     consecutive_failures: int
@@ -233,11 +233,11 @@
     engines: tuple[LearnedEngine, ...]
     classes: tuple[LearnedClass, ...]
     histogram: dict[int, float]  # arrivals with a key, by level
-    spread: tuple[float, ...]  # arrivals without keys, by business level
+    keyless_arrivals: tuple[float, ...]  # arrivals without keys, by business level
     cut: float
-    crossing: float  # share of requests sent to other zones
+    crossing_share: float  # share of requests sent to other zones
     budget: float  # retries available
-    peak: float  # of the requests in flight
+    peak_in_flight: float  # of the requests in flight
 
 
 class Recalled(NamedTuple):
--- a/sprucenotch/cli/config.py
+++ b/sprucenotch/cli/config.py
@@ -76,7 +76,7 @@
     ] = False,
 ) -> None:
     """Print the JSON Schema of a configuration file."""
-    print_json(schema.by_hand() if toml else schema.platform())
+    print_json(schema.toml_form() if toml else schema.json_form())
 
 
 def formatted(value: Any) -> str:
--- a/sprucenotch/config/resolve.py
+++ b/sprucenotch/config/resolve.py
@@ -48,7 +48,7 @@
                 child_path, f"{len(value.get('hosts', ()))} engines, version {value.get('seq')}", source
             )
         else:
-            yield Row(child_path, toml.spell(value, field.type), source)
+            yield Row(child_path, toml.format_value(value, field.type), source)
 
 
 class Change(NamedTuple):
--- a/sprucenotch/config/schema.py
+++ b/sprucenotch/config/schema.py
@@ -14,12 +14,12 @@
 DIALECT = "https://json-schema.org/draft/2020-12/schema"
 
 
-def platform() -> dict[str, Any]:
+def json_form() -> dict[str, Any]:
     """Return the schema of the platform's JSON, which allows further keys."""
     return {"$schema": DIALECT, "title": "sprucenotch: a configuration file", **_plain()}
 
 
-def by_hand() -> dict[str, Any]:
+def toml_form() -> dict[str, Any]:
     """Return the schema of the TOML form, which allows no further keys."""
     schema = _plain()
     for type_ in dict.fromkeys(_structs(settings.File)):
@@ -41,7 +41,7 @@
         return definition
     property_ = {"type": "string", "pattern": rf"^[0-9]+(\.[0-9]+)? ?({'|'.join(unit_format.units)})$"}
     if definition.get("default") is not None:
-        property_["default"] = toml.spell(definition["default"], field.type)
+        property_["default"] = toml.format_value(definition["default"], field.type)
     return property_
 
 
--- a/sprucenotch/config/toml.py
+++ b/sprucenotch/config/toml.py
@@ -66,12 +66,12 @@
     return next(filter(None, map(unit, get_args(type_))), "") if hasattr(type_, "__metadata__") else ""
 
 
-def spell(value: Any, type_: Any) -> Any:
+def format_value(value: Any, type_: Any) -> Any:
     """Format a value of the platform's form for TOML, with its unit."""
     unit_format = UNIT_FORMATS.get(unit(type_))
     if unit_format is None or not isinstance(value, int | float) or isinstance(value, bool):
         return value
-    return units.spell(value * unit_format.scale, unit_format.units)
+    return units.format_value(value * unit_format.scale, unit_format.units)
 
 
 def translate(raw: Any, type_: type[Struct], path: str, problems: list[Problem]) -> dict[str, Any]:
--- a/sprucenotch/config/units.py
+++ b/sprucenotch/config/units.py
@@ -20,7 +20,7 @@
     return int(whole) * scale + int(decimals or 0) * scale // int(10 ** len(decimals))
 
 
-def spell(value: float, units: dict[str, int]) -> str:
+def format_value(value: float, units: dict[str, int]) -> str:
     """Format a value in the largest unit in which it is a whole number."""
     if not value:
         return "0s" if units is NANOSECONDS else "0B"
--- a/sprucenotch/node/config.py
+++ b/sprucenotch/node/config.py
@@ -178,10 +178,10 @@
     read = top | {"limits": limits if isinstance(limits, dict) else {}}
     read |= {key: top.get(key) or None for key in ("peer_listen", "peers", "peers_all")}
     try:
-        file = settings.typed(read, settings.File, "")
+        file = settings.convert(read, settings.File, "")
         decisions = settings.read(top["settings"]).decisions()
-        connect_timeout = settings.judge(file.settings.limits, "connect_timeout_ns", settings.Time)
-        idle_limit = settings.judge(file.settings.limits, "conn_idle_ns", settings.Time)
+        connect_timeout = settings.check_limit(file.settings.limits, "connect_timeout_ns", settings.Time)
+        idle_limit = settings.check_limit(file.settings.limits, "conn_idle_ns", settings.Time)
         names = Names(_positions(file.settings.azs), _positions(file.settings.kinds))
         known = host_list(file.known or {"seq": 0, "whole": True, "hosts": []}, names)
     except settings.SettingsError as problem:
--- a/sprucenotch/node/standing.py
+++ b/sprucenotch/node/standing.py
@@ -72,7 +72,7 @@
         if member.health != api.Health.READY:
             return True
         used = self._balancer.engines.subset
-        return member.out_until > self._now() and not any(member in side for side in used)
+        return member.ejected_until > self._now() and not any(member in side for side in used)
 
     def ready(self) -> str:
         """The readiness message. A process with an outdated list is still ready, and says so."""
@@ -87,12 +87,12 @@
     def decisions(self) -> dict[str, float]:
         """State of the balancer: admission cut and its inputs, engines by state, retry budget."""
         b = self._balancer
-        ready, used = (sum(map(len, sides)) for sides in (b.engines.order, b.engines.subset))
-        cold = sum(self.is_cold(member.id) for side in b.engines.order for member in side)
+        ready, used = (sum(map(len, sides)) for sides in (b.engines.ready_by_rank, b.engines.subset))
+        cold = sum(self.is_cold(member.id) for side in b.engines.ready_by_rank for member in side)
         return {
-            "cut": b.admission.cut, "cut_levels": b.admission.top,
-            "pressure": b.pressure, "pressure_over": b.over, "crossing": b.crossing,
-            "flying": b.flying, "peak": b.engines.peak, "ready": ready, "cold": cold,
+            "cut": b.admission.cut, "cut_levels": b.admission.max_level,
+            "pressure": b.pressure, "pressure_over": b.overload_threshold, "crossing": b.crossing_share,
+            "flying": b.attempts_in_flight, "peak": b.engines.peak_in_flight, "ready": ready, "cold": cold,
             "used": used, "retry_budget": b.budget,
         }  # fmt: skip
 
@@ -115,5 +115,6 @@
                 ok_ms=round(self.telemetry.mean_ok() / MS, 1), in_progress=self.telemetry.in_progress,
                 connections=self.upstream.connections, lag_ms=round(lag * 1000, 1),
                 **{name: round(value, 2) for name, value in self.decisions().items()},
-                base_ms=[round(k.base / MS) for k in b.kinds], mean_ms=[round(k.mean / MS) for k in b.kinds],
+                base_ms=[round(k.base / MS) for k in b.class_states],
+                mean_ms=[round(k.mean / MS) for k in b.class_states],
             )  # fmt: skip
--- a/sprucenotch/policy/admission.py
+++ b/sprucenotch/policy/admission.py
@@ -28,18 +28,20 @@
         self.instance = settings.instance
         self.cut = 0.0
         self.histogram: dict[int, float] = {}
-        self.spread: list[float] = []  # arrivals without a key, by business level; shared with peers
+        self.keyless_arrivals: list[
+            float
+        ] = []  # arrivals without a key, by business level; shared with peers
 
     def apply_settings(self, settings: api.Settings, new_levels: Mapping[int, int], levels: int) -> None:
         """Apply settings with `levels` business levels; `new_levels` maps each old level to its new one."""
-        self.instance, self.top = settings.instance, levels * USER_LEVELS
+        self.instance, self.max_level = settings.instance, levels * USER_LEVELS
         counts = [(*divmod(level, USER_LEVELS), count) for level, count in self.histogram.items()]
         self.histogram = {
             new_levels[b] * USER_LEVELS + user: count for b, user, count in counts if b in new_levels
         }
-        spread, self.spread = self.spread, [0.0] * levels
+        keyless_arrivals, self.keyless_arrivals = self.keyless_arrivals, [0.0] * levels
         for b, new in new_levels.items():
-            self.spread[new] += spread[b]
+            self.keyless_arrivals[new] += keyless_arrivals[b]
         self.cut = remap_cut(self.cut, new_levels)
 
     def passes(self, business: int, event: api.Request, now: int) -> bool:
@@ -52,7 +54,7 @@
         self.histogram = {
             level: count * HISTOGRAM_RETENTION for level, count in self.histogram.items() if count > 0.02
         }
-        self.spread = [count * HISTOGRAM_RETENTION for count in self.spread]
+        self.keyless_arrivals = [count * HISTOGRAM_RETENTION for count in self.keyless_arrivals]
 
     def level(self, business: int, event: api.Request, now: int) -> tuple[int, float]:
         """Return the request's level (business x 128 + user) and its fractional position in it, 0 to 1.
@@ -66,7 +68,7 @@
             return level, 0.5
         # One sidecar sees few user levels of keyless requests, so they count as spread evenly over all.
         # A tenant is hashed with the sidecar's number: hashed alone, it would put much traffic on one level.
-        self.spread[business] += 1
+        self.keyless_arrivals[business] += 1
         tenant_hash = mix(self.instance ^ mix(event.tenant ^ salt))
         return business * USER_LEVELS + tenant_hash % USER_LEVELS, (tenant_hash >> 7) / 2**57
 
@@ -74,7 +76,8 @@
         """Return the arrivals as (first level, number of levels, count), sorted by level."""
         segments = [(level, 1, count) for level, count in self.histogram.items()]
         return sorted(
-            segments + [(b * USER_LEVELS, USER_LEVELS, count) for b, count in enumerate(self.spread)]
+            segments
+            + [(b * USER_LEVELS, USER_LEVELS, count) for b, count in enumerate(self.keyless_arrivals)]
         )
 
     def raise_cut(self, share: float) -> None:
--- a/sprucenotch/policy/balance.py
+++ b/sprucenotch/policy/balance.py
@@ -17,7 +17,7 @@
 from sprucenotch.policy.discovery import CallSchedule
 from sprucenotch.policy.engines import PEAK_RETENTION, Engines
 from sprucenotch.policy.learned import export, in_range_or, restore
-from sprucenotch.policy.retries import objection
+from sprucenotch.policy.retries import reason_against_retry
 from sprucenotch.policy.state import CYCLE_AIMS, SECOND, SMOOTHING_WEIGHT, ClassState, Member, PendingRequest
 
 MAX_CYCLE_SENDS = 2000  # a cycle also ends after this many sends, as in the published algorithm
@@ -73,29 +73,32 @@
         }  # fmt: skip
         self.subscribed = not settings.discovery_on_request
         self.schedule = CallSchedule(int(self.rand() * (1 << 53)))
-        self.flying = 0  # attempts in flight
+        self.attempts_in_flight = 0  # attempts in flight
         self.waiting_for_probe: dict[bytes, list[int]] = {}  # ids of requests by probed endpoint
         self.fastest_probe = [0, 0]  # shortest time of a probe: [this zone, other zones]
-        self.kinds: list[ClassState] = []
-        self.crossing = 0.0  # share of requests sent to other zones, where they may go there
+        self.class_states: list[ClassState] = []
+        self.crossing_share = 0.0  # share of requests sent to other zones, where they may go there
         # By the zone of the servers, shared with peers: sum of waits / slack, their count, sends, answers.
         self.zone_stats: list[list[float]] = []
         self.sends = self.cycles = self.calm_cycles = self.cycle_started_at = 0
-        self.pressure, self.over = 0.0, MIN_OVERLOAD_WAIT + OVERLOAD_SERVICE_TIMES * MAX_SERVICE_SHARE
+        self.pressure, self.overload_threshold = (
+            0.0,
+            MIN_OVERLOAD_WAIT + OVERLOAD_SERVICE_TIMES * MAX_SERVICE_SHARE,
+        )
         self.budget = 1.0
         self.apply_settings(settings)
         self.mean_worth = sum(c.worth for c in settings.classes) / len(settings.classes)
 
     def apply_settings(self, settings: api.Settings) -> None:
         """Apply settings. State of a class is kept by its name; the histogram and the cut are remapped."""
-        self.settings, classes, old = settings, settings.classes, {s.cls.name: s for s in self.kinds}
+        self.settings, classes, old = settings, settings.classes, {s.cls.name: s for s in self.class_states}
         ranks = {worth: i for i, worth in enumerate(sorted({c.worth for c in classes}))}
-        new_levels = {old[c.name].business: ranks[c.worth] for c in reversed(classes) if c.name in old}
-        self.kinds = [old.get(c.name) or ClassState(c) for c in classes]
-        for class_state, cls in zip(self.kinds, classes, strict=True):
+        new_levels = {old[c.name].business_level: ranks[c.worth] for c in reversed(classes) if c.name in old}
+        self.class_states = [old.get(c.name) or ClassState(c) for c in classes]
+        for class_state, cls in zip(self.class_states, classes, strict=True):
             class_state.latency[0] *= class_state.cls.aim / cls.aim
             class_state.base = min(class_state.base, cls.aim * MAX_BASE_LATENCY)
-            class_state.cls, class_state.business = cls, ranks[cls.worth]
+            class_state.cls, class_state.business_level = cls, ranks[cls.worth]
         self.engines.apply_settings(settings)
         self.admission.apply_settings(settings, new_levels, len(ranks))
         self.aim = self.engines.aim
@@ -134,7 +137,7 @@
         """Schedule the next call to discovery; `silent` if the last one got no answer in time."""
         self.subscribed = not self.settings.discovery_on_request
         if not self.subscribed:
-            pause = self.schedule.silent() if silent else self.schedule.failed(now, self.settings)
+            pause = self.schedule.call_timed_out() if silent else self.schedule.failed(now, self.settings)
             self.actions.append(api.SetTimer(pause, DISCOVERY_TIMER))
 
     def on_discovery_moved(self, now: int, event: api.DiscoveryMoved) -> None:
@@ -146,7 +149,7 @@
     def on_clock_skew(self, now: int, event: api.ClockSkew) -> None:
         """Record the skew against discovery's clock, by which start times of servers are given."""
         if self.engines.skew_estimate.observe_discovery_clock(event.skew):
-            self.engines.reckon_births()
+            self.engines.update_warm_up()
 
     def call_discovery(self, now: int) -> None:
         if not self.subscribed:
@@ -155,16 +158,18 @@
 
     def learned(self, now: int) -> api.Learned:
         """Return the learned state for a later process."""
-        state = export(now, self.engines, self.kinds, self.admission)
-        return structs.replace(state, crossing=self.crossing, budget=self.budget)
+        state = export(now, self.engines, self.class_states, self.admission)
+        return structs.replace(state, crossing_share=self.crossing_share, budget=self.budget)
 
     def on_recalled(self, now: int, event: api.Recalled) -> None:
         """Restore the state of an earlier process. The retry budget is restored too: a restart gains none."""
         learned, age = event
-        restore(now, age, learned, self.engines, self.kinds, self.admission)
+        restore(now, age, learned, self.engines, self.class_states, self.admission)
         self.budget = in_range_or(learned.budget, 0.0, MAX_RETRY_BUDGET, self.budget)
         cycles = age / (CYCLE_AIMS * self.aim)
-        self.crossing = in_range_or(learned.crossing, 0.0, 1.0, 0.0) * (1 - CROSSING_STEP) ** cycles
+        self.crossing_share = (
+            in_range_or(learned.crossing_share, 0.0, 1.0, 0.0) * (1 - CROSSING_STEP) ** cycles
+        )
 
     # ---- probing idle members -----------------------------------------------------------------------------
 
@@ -180,10 +185,12 @@
         the longest stall of a sidecar are not held back for probes.
         """
         if self.engines.subset_stale:
-            self.engines.refill(now)
+            self.engines.choose_subset(now)
         if request.probe_rounds >= MAX_PROBE_ROUNDS or request.expires - now < MAX_STALL:
             return False
-        cross = self.may_cross(request.cls) and (request.probe_rounds > 0 or self.rand() < self.crossing)
+        cross = self.may_cross(request.cls) and (
+            request.probe_rounds > 0 or self.rand() < self.crossing_share
+        )
         if not request.probe_rounds and (cold := self.engines.pick_cold(self.may_cross(request.cls), now)):
             self.launch(request, cold, now)
             return True
@@ -273,15 +280,17 @@
             self.zone_stats[member.zone][SEND_COUNT] -= 1
             if outcome == Outcome.CONNECT_FAILED and member.zone != self.settings.zone:
                 # An unreachable zone shows no waits and would otherwise attract more and more traffic.
-                self.crossing *= 1 - CROSSING_STEP * 4
+                self.crossing_share *= 1 - CROSSING_STEP * 4
             return
         else:
             class_state.latency[0] += took / aim
             class_state.latency[1] += 1
             base = min(class_state.base or aim * DEFAULT_BASE_LATENCY, aim * MAX_BASE_LATENCY)
-            pace = took / (class_state.mean or took or 1)
-            member.pace = (
-                member.pace + SMOOTHING_WEIGHT * (pace - member.pace) if member.last_answer_at else pace
+            relative_latency = took / (class_state.mean or took or 1)
+            member.relative_latency = (
+                member.relative_latency + SMOOTHING_WEIGHT * (relative_latency - member.relative_latency)
+                if member.last_answer_at
+                else relative_latency
             )
             wait = min(2.0, (took - base) / (aim - base))
         self.record_wait(member, request, wait)
@@ -307,9 +316,9 @@
                 self.send_or_probe_again(request, now)
             return
         self.actions.append(api.SetTimer(int(CYCLE_AIMS * self.aim), CYCLE_TIMER))
-        self.engines.peak *= PEAK_RETENTION
-        if self.pressure <= self.over:  # in overload new connections would add to the load
-            self.engines.peak = max(self.flying, self.engines.peak)
+        self.engines.peak_in_flight *= PEAK_RETENTION
+        if self.pressure <= self.overload_threshold:  # in overload new connections would add to the load
+            self.engines.peak_in_flight = max(self.attempts_in_flight, self.engines.peak_in_flight)
         self.engines.subset_stale = True
         self.run_cycle(now)
 
@@ -321,7 +330,7 @@
                 base = min(request.class_state.base or aim * DEFAULT_BASE_LATENCY, aim * MAX_BASE_LATENCY)
                 elapsed = (now - request.sent_at) * self.engines.warmth(member, request.sent_at)
                 wait = min(1.0, (elapsed - base) / (aim - base))
-                if wait > self.over and wait > request.recorded_wait:
+                if wait > self.overload_threshold and wait > request.recorded_wait:
                     self.record_wait(member, request, wait)
         min_samples = MIN_SAMPLES_POOLED if self.settings.peers else MIN_SAMPLES
         samples = sum(e[WAIT_COUNT] for e in self.zone_stats)
@@ -330,7 +339,7 @@
             return
         self.adjust_cut_and_crossing(now)
         self.admission.decay()
-        for class_state in self.kinds:
+        for class_state in self.class_states:
             (total, count), aim = class_state.latency, class_state.cls.aim
             if count >= min_samples:
                 class_state.mean = mean = total / count * aim
@@ -341,9 +350,9 @@
                     aim * MAX_BASE_LATENCY,
                 )
             class_state.latency = [total * LATENCY_RETENTION, count * LATENCY_RETENTION]
-        shares = [s.base / (s.cls.aim - s.base) for s in self.kinds if s.base]
+        shares = [s.base / (s.cls.aim - s.base) for s in self.class_states if s.base]
         if shares:
-            self.over = MIN_OVERLOAD_WAIT + OVERLOAD_SERVICE_TIMES * min(
+            self.overload_threshold = MIN_OVERLOAD_WAIT + OVERLOAD_SERVICE_TIMES * min(
                 MAX_SERVICE_SHARE, sum(shares) / len(shares)
             )
         keep = min(MAX_POOL_RETENTION, max(MIN_POOL_RETENTION, 1 - samples / FULL_POOL_SAMPLES))
@@ -366,11 +375,13 @@
         )
         # If other zones have shorter waits, traffic crosses before any is shed, in proportion to the
         # difference, and returns as the waits become equal. Scaled by time, as cycles differ in length.
-        if self.engines.order[1]:
-            difference = max(-0.5, min(2.0, (local - remote - self.settings.cross_price) / self.over))
+        if self.engines.ready_by_rank[1]:
+            difference = max(
+                -0.5, min(2.0, (local - remote - self.settings.cross_price) / self.overload_threshold)
+            )
             step = CROSSING_STEP * (now - self.cycle_started_at) / (CYCLE_AIMS * self.aim) * difference
-            self.crossing = min(1.0, max(0.0, self.crossing + step))
-        if self.pressure > self.over:
+            self.crossing_share = min(1.0, max(0.0, self.crossing_share + step))
+        if self.pressure > self.overload_threshold:
             # Overloaded servers still finish requests at their capacity. Send that rate, less a part to drain
             # their queues. Late answers to sends from before the last rise must not raise the cut again.
             sustainable = rate * (1 - DRAIN_SHARE * min(2.0, self.pressure))
@@ -384,12 +395,16 @@
             # Some overloads sustain themselves until the load is low, so the first steps are small; they grow
             # with the number of cycles without overload.
             self.calm_cycles = min(self.calm_cycles + 1, CUT_DROP_RAMP_CYCLES)
-            ramp = (1 - max(0.0, self.pressure) / self.over) * self.calm_cycles / CUT_DROP_RAMP_CYCLES
+            ramp = (
+                (1 - max(0.0, self.pressure) / self.overload_threshold)
+                * self.calm_cycles
+                / CUT_DROP_RAMP_CYCLES
+            )
             self.admission.lower_cut(MIN_CUT_DROP + (MAX_CUT_DROP - MIN_CUT_DROP) * ramp)
 
     def pooled_rows(self) -> list[list[float]]:
         """Return the values shared with peers, in the order of their messages."""
-        return [*self.zone_stats, self.admission.spread, *(s.latency for s in self.kinds)]
+        return [*self.zone_stats, self.admission.keyless_arrivals, *(s.latency for s in self.class_states)]
 
     def share_with_peers(self) -> None:
         """Send equal parts of the statistics to a few peers, so that all approach the fleet's mean."""
@@ -417,7 +432,7 @@
         received = [[next(values) for _ in row] for row in rows]
         zones = len(self.zone_stats)
         valid = all(abs(e[WAIT_SUM]) <= 2.01 * e[WAIT_COUNT] for e in received[:zones])
-        if not (valid and -1 <= cut <= self.admission.top):
+        if not (valid and -1 <= cut <= self.admission.max_level):
             return  # not a message of this version
         if not all(0 <= x <= MAX_SHARED_VALUE for i, row in enumerate(received) for x in row[i < zones :]):
             return
@@ -432,8 +447,8 @@
     # ---- attempts and final answers -----------------------------------------------------------------------
 
     def on_request(self, now: int, event: api.Request) -> None:
-        passes = self.admission.passes(self.kinds[event.cls].business, event, now)
-        request = PendingRequest(event, self.kinds[event.cls], self.settings.max_attempts, now)
+        passes = self.admission.passes(self.class_states[event.cls].business_level, event, now)
+        request = PendingRequest(event, self.class_states[event.cls], self.settings.max_attempts, now)
         self.mean_worth += 0.01 * (request.cls.worth - self.mean_worth)
         self.pending[event.id] = request
         if not passes:
@@ -463,9 +478,9 @@
 
     def send(self, request: PendingRequest, now: int) -> None:
         if self.engines.subset_stale:
-            self.engines.refill(now)
+            self.engines.choose_subset(now)
         can_cross = self.may_cross(request.cls)
-        side = int(can_cross and self.rand() < self.crossing)
+        side = int(can_cross and self.rand() < self.crossing_share)
         first = not request.attempts and not request.probe_rounds
         member = self.engines.pick_cold(can_cross, now) if first else None
         member = member or self.engines.pick(side, can_cross, request, now)
@@ -477,8 +492,8 @@
     def launch(self, request: PendingRequest, member: Member, now: int) -> None:
         request.member, request.location, request.sent_at = member, member.location, now
         request.attempts += 1
-        member.inflight += 1
-        self.flying += 1
+        member.in_flight += 1
+        self.attempts_in_flight += 1
         self.sends += 1
         self.zone_stats[member.zone][SEND_COUNT] += 1
         repeat = request.first_run_member is not None and request.cls.effect == Effect.KEYED
@@ -492,7 +507,7 @@
         cls = request.cls
         time_to_aim = request.arrived_at + cls.aim - now
         # Members that answered a probe but are late have a queue of requests held beyond the aim.
-        limit_to_aim = not cls.late_worth or (self.probing and self.pressure > self.over / 2)
+        limit_to_aim = not cls.late_worth or (self.probing and self.pressure > self.overload_threshold / 2)
         if limit_to_aim and 0 < time_to_aim < request.expires - now:
             return time_to_aim
         return 0
@@ -500,9 +515,9 @@
     def on_completed(self, now: int, event: api.Completed) -> None:
         request = self.pending.get(event.id)
         member = self.engines.members.get(event.endpoint)
-        if member is not None and member.inflight:
-            member.inflight -= 1
-            self.flying -= 1
+        if member is not None and member.in_flight:
+            member.in_flight -= 1
+            self.attempts_in_flight -= 1
             self.record_outcome(member, event, request, now)
         if request is None or event.over:
             self.pending.pop(event.id, None)
@@ -513,7 +528,9 @@
                 request.location,
                 request.sent_at,
             )
-        why = objection(request, event.outcome, now, self.budget, self.pressure > self.over)
+        why = reason_against_retry(
+            request, event.outcome, now, self.budget, self.pressure > self.overload_threshold
+        )
         if why is not None:
             self.finish_without_answer(request, now, why)
             return
--- a/sprucenotch/policy/discovery.py
+++ b/sprucenotch/policy/discovery.py
@@ -87,7 +87,7 @@
             self._due = self._called_at + call_budget(settings)
         return self._pause(now - self._called_at, self._due - now, settings)
 
-    def silent(self) -> int:
+    def call_timed_out(self) -> int:
         """Return the nanoseconds to wait before the next call, after one without an answer in time."""
         return self._gap()
 
--- a/sprucenotch/policy/engines.py
+++ b/sprucenotch/policy/engines.py
@@ -38,12 +38,12 @@
         self.salt = mix(settings.instance)  # fixed by the instance number, so that a restart keeps the subset
         self.members: dict[bytes, Member] = {}
         self.skew_estimate = SkewEstimate()
-        self.order: list[list[Member]] = [[], []]  # ready endpoints by rank: [this zone, other zones]
+        self.ready_by_rank: list[list[Member]] = [[], []]  # ready endpoints by rank: [this zone, other zones]
         self.subset: list[list[Member]] = [[], []]
         # Allowed sends to cold members, and what each answer of a warm one adds to them.
         self.cold_credit, self.credit_per_answer = 0.0, 0.0
         self.refilled_at = 0
-        self.peak = 0.0  # of the requests in flight, decaying
+        self.peak_in_flight = 0.0  # of the requests in flight, decaying
         self.subset_stale = False  # whether the subset has to be chosen again
         self.apply_settings(settings)
 
@@ -77,16 +77,16 @@
                 and entry.started
                 and self.skew_estimate.observe_start(entry.started, now)
             ):
-                self.reckon_births()
+                self.update_warm_up()
             member.warm_from = self.skew_estimate.warm_from(member.started, member.first_seen)
         if kind != ListKind.DELTA:
             for member in self.members.values():
                 if member.id not in named:
                     member.health = Health.GONE
-        self.members = {k: m for k, m in self.members.items() if m.health != Health.GONE or m.inflight}
+        self.members = {k: m for k, m in self.members.items() if m.health != Health.GONE or m.in_flight}
         self.rank_members()
 
-    def reckon_births(self) -> None:
+    def update_warm_up(self) -> None:
         """Recompute when each server's warm-up began, after the estimate of the clock skew has changed."""
         for member in self.members.values():
             member.warm_from = self.skew_estimate.warm_from(member.started, member.first_seen)
@@ -100,18 +100,18 @@
         ready = [m for m in self.members.values() if m.health == Health.READY]
         ready.sort(key=lambda m: (-log((m.rank + 1) / 2**64) / m.share, m.id))
         zone = self.settings.zone
-        self.order = [[m for m in ready if m.zone == zone], [m for m in ready if m.zone != zone]]
+        self.ready_by_rank = [[m for m in ready if m.zone == zone], [m for m in ready if m.zone != zone]]
         self.subset_stale = True
 
     def subset_size(self) -> int:
         """Return the target size of the subset of one zone side, in warm members."""
         priced = self.settings.connection_price + self.settings.handshake_price > 0
-        sides = max(1, sum(map(bool, self.order)))
+        sides = max(1, sum(map(bool, self.ready_by_rank)))
         return (MIN_SUBSET_PRICED if priced else MIN_SUBSET_FREE) + int(
-            SUBSET_PER_IN_FLIGHT * self.peak / sides
+            SUBSET_PER_IN_FLIGHT * self.peak_in_flight / sides
         )
 
-    def refill(self, now: int) -> None:
+    def choose_subset(self, now: int) -> None:
         """Choose the subset again, and update the credit for sends to cold members."""
         self.subset_stale = False
         cycles = max(0.0, min(1.0, (now - self.refilled_at) / (CYCLE_AIMS * self.aim)))  # since the last call
@@ -119,11 +119,15 @@
         size = self.subset_size()
         for side in (0, 1):
             subset: list[Member] = []
-            ejected, filled, max_ejected = 0, 0.0, MAX_EJECTED_SHARE * min(size, len(self.order[side]))
-            for member in self.order[side]:
+            ejected, filled, max_ejected = (
+                0,
+                0.0,
+                MAX_EJECTED_SHARE * min(size, len(self.ready_by_rank[side])),
+            )
+            for member in self.ready_by_rank[side]:
                 if filled >= size:
                     break
-                if member.out_until > now and ejected + 1 <= max_ejected:
+                if member.ejected_until > now and ejected + 1 <= max_ejected:
                     ejected += 1
                 else:
                     subset.append(member)
@@ -135,7 +139,7 @@
         if warm == len(warmths):
             self.cold_credit = 0.0  # no savings: a bulk restart would get them all at once
         elif not warm:  # all sidecars together send each one a request per two mean aims
-            fair = sum(map(len, self.order)) / self.settings.instances
+            fair = sum(map(len, self.ready_by_rank)) / self.settings.instances
             self.cold_credit = min(1.0, self.cold_credit + fair * CYCLE_AIMS / 2 * cycles)
 
     def warmth(self, member: Member, now: int) -> float:
@@ -156,7 +160,7 @@
             return class_state.mean
         fade = 1 / (1 + max(0, now - member.last_answer_at) / (ESTIMATE_FADE_AIMS * self.aim))
         return (
-            class_state.mean * (1 + (member.pace - 1) * fade)
+            class_state.mean * (1 + (member.relative_latency - 1) * fade)
             + member.failure_rate * fade * class_state.cls.aim
         )
 
@@ -170,13 +174,13 @@
         # A repeat has to stay in the group by the current list as well as by the list of that time.
         location = request.first_run_location
         members = [
-            m for m in (self.order if key else self.subset)[side]
+            m for m in (self.ready_by_rank if key else self.subset)[side]
             if m is not request.member and m not in request.probed and self.warmth(m, now) >= 1
             and (
                 first is None
                 or (same_dedup_group(m, first, scope) and same_dedup_group(m, location, scope))
             )
-            and (not key or m.out_until <= now)
+            and (not key or m.ejected_until <= now)
         ]  # fmt: skip
         if key:
             members = nsmallest(MEMBERS_PER_KEY, members, key=lambda m: mix(m.id_hash ^ key))
@@ -199,7 +203,8 @@
         )
         rand = self.rand  # breaks ties where nothing is known yet
         return min(
-            drawn, key=lambda m: (m.out_until > now, m.inflight, self.expected_time(m, state, now), rand())
+            drawn,
+            key=lambda m: (m.ejected_until > now, m.in_flight, self.expected_time(m, state, now), rand()),
         )
 
     def pick_cold(self, can_cross: bool, now: int) -> Member | None:
@@ -217,9 +222,9 @@
         if not cold:
             return None
         [member] = self.choices(cold, weights=[self.warmth(m, now) for m in cold])
-        self.cold_credit -= not member.inflight
+        self.cold_credit -= not member.in_flight
         allowed = can_cross or member.zone == self.settings.zone
-        return member if allowed and not member.inflight else None
+        return member if allowed and not member.in_flight else None
 
     def record_success(self, member: Member, now: int) -> None:
         """Record an answer: ends a series of failures, and earns credit for cold members."""
@@ -234,8 +239,8 @@
         if outcome == Outcome.FULL or request is None or request.sent_at < member.last_failure_at:
             return
         member.consecutive_failures, member.last_failure_at = member.consecutive_failures + 1, now
-        if member.consecutive_failures >= FAILURES_TO_EJECT and member.out_until <= now:
+        if member.consecutive_failures >= FAILURES_TO_EJECT and member.ejected_until <= now:
             duration = min(MIN_EJECTION_AIMS * 2 ** min(member.ejections, 8), MAX_EJECTION_AIMS) * self.aim
-            member.out_until = now + int(duration * (0.75 + self.rand() / 2))
+            member.ejected_until = now + int(duration * (0.75 + self.rand() / 2))
             member.ejections += 1
             self.subset_stale = True
--- a/sprucenotch/policy/learned.py
+++ b/sprucenotch/policy/learned.py
@@ -24,19 +24,20 @@
     return api.Learned(
         engines=tuple(
             api.LearnedEngine(
-                m.id, m.started, m.pace, m.failure_rate, now - m.last_answer_at if m.last_answer_at else -1,
-                m.consecutive_failures, m.ejections, max(0, m.out_until - now),
+                m.id, m.started, m.relative_latency, m.failure_rate,
+                now - m.last_answer_at if m.last_answer_at else -1,
+                m.consecutive_failures, m.ejections, max(0, m.ejected_until - now),
             )
             for m in engines.members.values()
         ),
         classes=tuple(
             api.LearnedClass(
-                s.cls.name, s.cls.aim, s.business, s.base, s.mean, (s.latency[0], s.latency[1])
+                s.cls.name, s.cls.aim, s.business_level, s.base, s.mean, (s.latency[0], s.latency[1])
             )
             for s in class_states
         ),
-        histogram=dict(admission.histogram), spread=tuple(admission.spread), cut=admission.cut,
-        crossing=0.0, budget=0.0, peak=engines.peak,
+        histogram=dict(admission.histogram), keyless_arrivals=tuple(admission.keyless_arrivals),
+        cut=admission.cut, crossing_share=0.0, budget=0.0, peak_in_flight=engines.peak_in_flight,
     )  # fmt: skip
 
 
@@ -58,23 +59,25 @@
         if (old := by_name.get(class_state.cls.name)) is not None and old.aim > 0:
             restore_class(class_state, old, age, engines.aim)
     # Business levels are mapped by class name, as at a change of the settings.
-    new_levels = {by_name[s.cls.name].level: s.business for s in class_states if s.cls.name in by_name}
+    new_levels = {by_name[s.cls.name].level: s.business_level for s in class_states if s.cls.name in by_name}
     restore_cut(admission, learned, new_levels, cycles)
-    engines.peak = max(engines.peak, in_range_or(learned.peak, 0, 1e5, 0.0) * PEAK_RETENTION**cycles)
+    engines.peak_in_flight = max(
+        engines.peak_in_flight, in_range_or(learned.peak_in_flight, 0, 1e5, 0.0) * PEAK_RETENTION**cycles
+    )
     engines.subset_stale = True
 
 
 def restore_engine(now: int, age: int, saved: api.LearnedEngine, member: Member, aim: float) -> None:
     if saved.last_answer_age >= 0:
         member.last_answer_at = max(1, now - saved.last_answer_age - age)  # estimates decay with this age
-        member.pace = in_range_or(saved.pace, 0.0, 1e3, 1.0)
+        member.relative_latency = in_range_or(saved.relative_latency, 0.0, 1e3, 1.0)
         member.failure_rate = in_range_or(saved.failure_rate, 0.0, 1.0, 0.0)
     fresh = age < ESTIMATE_FADE_AIMS * aim
     member.consecutive_failures = int(in_range_or(saved.consecutive_failures, 0, 1e6, 0)) if fresh else 0
     member.ejections = int(in_range_or(saved.ejections, 0, 64, 0)) if fresh else 0
     remaining = min(saved.ejected_for, int(1.25 * MAX_EJECTION_AIMS * aim)) - age
     if remaining > 0:
-        member.out_until = now + remaining
+        member.ejected_until = now + remaining
 
 
 def restore_class(class_state: ClassState, saved: api.LearnedClass, age: int, mean_aim: float) -> None:
@@ -105,8 +108,8 @@
             admission.histogram[at] = (
                 admission.histogram.get(at, 0.0) + in_range_or(count, 0, 1e9, 0) * retained
             )
-    for business, count in enumerate(learned.spread):
+    for business, count in enumerate(learned.keyless_arrivals):
         if business in new_levels:
-            admission.spread[new_levels[business]] += in_range_or(count, 0, MAX_COUNT, 0) * retained
+            admission.keyless_arrivals[new_levels[business]] += in_range_or(count, 0, MAX_COUNT, 0) * retained
     cut = remap_cut(in_range_or(learned.cut, 0, 1e6, 0.0), new_levels) * CUT_RETENTION**cycles
-    admission.cut = max(admission.cut, min(cut, float(admission.top)))
+    admission.cut = max(admission.cut, min(cut, float(admission.max_level)))
--- a/sprucenotch/policy/retries.py
+++ b/sprucenotch/policy/retries.py
@@ -6,7 +6,7 @@
 from sprucenotch.policy.state import PendingRequest
 
 
-def objection(
+def reason_against_retry(
     request: PendingRequest, outcome: int, now: int, budget: float, overload: bool
 ) -> Reason | None:
     """Return why a request gets no further attempt after this outcome, or None if it is retried.
@@ -15,7 +15,7 @@
     """
     if outcome == Outcome.MOOT:
         return Reason.CALLED_OFF
-    if request.attempts >= request.tries:
+    if request.attempts >= request.max_attempts:
         return Reason.ATTEMPTS
     if now >= request.expires:
         return Reason.EXPIRED
--- a/sprucenotch/policy/state.py
+++ b/sprucenotch/policy/state.py
@@ -35,7 +35,7 @@
 
     def __init__(self, entry: api.Endpoint, rank: int, now: int) -> None:
         self.id, self.rank, self.id_hash = entry.id, rank, mix(int.from_bytes(entry.id, "little"))
-        self.inflight = 0
+        self.in_flight = 0
         self.first_seen = now  # when the endpoint was first listed with its current start time
         self.warm_from = 0  # start of its warm-up, by this process's clock; 0: warm
         self.update(entry)
@@ -47,17 +47,17 @@
         self.share, self.started = max(entry.share, 1e-3), entry.started
 
     def reset(self) -> None:
-        self.pace = 1.0  # its latency relative to the mean of the request classes, smoothed
+        self.relative_latency = 1.0  # its latency relative to the mean of the request classes, smoothed
         self.failure_rate = 0.0  # share of failed attempts, smoothed
         self.last_answer_at = 0  # 0: no answer yet, so the class mean is assumed
-        self.consecutive_failures = self.last_failure_at = self.ejections = self.out_until = 0
+        self.consecutive_failures = self.last_failure_at = self.ejections = self.ejected_until = 0
 
 
 class ClassState:
     """A request class with its learned latencies and its business level."""
 
     def __init__(self, cls: api.RequestClass) -> None:
-        self.cls, self.business = cls, 0
+        self.cls, self.business_level = cls, 0
         # Mean latency over some seconds, and its slowly rising minimum, the latency without queueing.
         self.mean = self.base = 0.0
         self.latency = [0.0, 0.0]  # sum of latency / aim, and count; shared with peers
@@ -70,8 +70,8 @@
     def __init__(self, event: api.Request, class_state: ClassState, max_attempts: int, now: int) -> None:
         self.id, self.expires, self.arrived_at = event.id, event.expires, now
         # As of its arrival: later settings do not apply to it.
-        self.class_state, self.cls, self.tries = class_state, class_state.cls, max_attempts
-        self.key, self.uploading = event.key, event.coming
+        self.class_state, self.cls, self.max_attempts = class_state, class_state.cls, max_attempts
+        self.key, self.uploading = event.key, event.uploading
         self.attempts = self.sent_at = self.first_run_at = self.probe_rounds = self.open_probes = 0
         self.member: Member | None = None  # target of the last attempt
         # Of `member` and of `first_run_member`, when the attempt was sent.
@@ -88,7 +88,7 @@
 
     An ejected member may stay in the subset when too many are ejected; it does not count as idle.
     """
-    return not member.inflight and member.out_until <= now
+    return not member.in_flight and member.ejected_until <= now
 
 
 def same_dedup_group(one: Member, other: Member | Location, scope: int) -> bool:
--- a/sprucenotch/rig/faults.py
+++ b/sprucenotch/rig/faults.py
@@ -11,7 +11,7 @@
 
 from msgspec import Meta, Struct
 
-from sprucenotch.settings import Share, Span, Time
+from sprucenotch.settings import Duration, Share, Time
 
 PositiveShare: TypeAlias = Annotated[float, Meta(gt=0, le=1, description="a share above 0, at most 1")]
 Probability: TypeAlias = Annotated[float, Meta(ge=0, le=1, description="a share from 0 to 1")]
@@ -47,8 +47,8 @@
     how: Annotated[
         Literal["kill", "term", "upgrade", "power"], Meta(description="kill, term, upgrade or power")
     ] = "kill"  # upgrade: start the successor, then SIGTERM; power: lose data that is not durable too
-    down: Span = 0  # time between the end and the start
-    stagger: Span = 0  # time between one process and the next
+    down: Duration = 0  # time between the end and the start
+    stagger: Duration = 0  # time between one process and the next
     revision: str = ""  # of the program to start, if it changes
     knowing: Annotated[Literal["last", "first", "nothing"], Meta(description="last, first or nothing")] = (
         "last"  # the server list it starts with: the last one, the one at the start of the run, or none
@@ -77,8 +77,8 @@
 class WrongClock(OnProcesses, frozen=True, kw_only=True, tag="wrong clock"):
     """A wrong wall clock, effective from the next start of the process."""
 
-    ahead: Span = 0
-    behind: Span = 0
+    ahead: Duration = 0
+    behind: Duration = 0
     drift_ppm: Annotated[float, Meta(ge=-1e5, le=1e5, description="a number from -100000 to 100000")] = 0
 
 
@@ -99,15 +99,15 @@
 class ClockStep(OnProcesses, frozen=True, kw_only=True, tag="clock step"):
     """Steps the wall clock, and back at the end; the monotonic clock is unaffected."""
 
-    ahead: Span = 0
-    behind: Span = 0
+    ahead: Duration = 0
+    behind: Duration = 0
 
 
 class Reload(OnProcesses, frozen=True, kw_only=True, tag="reload"):
     """Repeated reloads by SIGHUP that alternate between changed and original settings."""
 
     times: Annotated[int, Meta(ge=1, le=20, description="1 to 20")] = 4
-    gap: Span = 30_000_000
+    gap: Duration = 30_000_000
     broken: bool = False  # truncate the configuration file before each reload
 
 
@@ -129,8 +129,8 @@
 class Delay(OnLinks, frozen=True, kw_only=True, tag="delay"):
     """Data arrives later."""
 
-    by: Span
-    jitter: Span = 0
+    by: Duration
+    jitter: Duration = 0
 
 
 class Rate(OnLinks, frozen=True, kw_only=True, tag="rate"):
@@ -155,7 +155,7 @@
     lost: Probability = 0
     doubled: Probability = 0
     overtaken: Probability = 0
-    by: Span = 0
+    by: Duration = 0
 
 
 class Engines(OnProcesses, frozen=True, kw_only=True, tag="engines"):
@@ -172,15 +172,15 @@
 class Replace(OnProcesses, frozen=True, kw_only=True, tag="replace"):
     """Drain engines, stop each after the notice, and start cold replacements."""
 
-    stagger: Span = 0
+    stagger: Duration = 0
     notice: Time = 1_000_000_000
 
 
 class Discovery(Fault, frozen=True, kw_only=True, tag="discovery"):
     """Discovery is down; or it answers late; or a replica that is behind takes its place."""
 
-    late: Span = 0
-    behind: Span = 0
+    late: Duration = 0
+    behind: Duration = 0
 
 
 class Surge(Fault, frozen=True, kw_only=True, tag="surge"):
--- a/sprucenotch/rig/plan.py
+++ b/sprucenotch/rig/plan.py
@@ -16,7 +16,7 @@
 from sprucenotch import settings
 from sprucenotch.config import toml
 from sprucenotch.rig.faults import KINDS, SELF_ENDING, Fault, OnLinks, OnProcesses, Pattern
-from sprucenotch.settings import Problem, SettingsError, Share, Span, Time
+from sprucenotch.settings import Duration, Problem, SettingsError, Share, Time
 
 SECOND = 1_000_000_000
 MAX_LENGTH = 3600 * SECOND
@@ -92,7 +92,7 @@
         "never"  # after: after Retry-After, or `wait` without it
     )
     repeats: Annotated[int, Meta(ge=1, le=5, description="1 to 5")] = 2
-    wait: Span = 200_000_000
+    wait: Duration = 200_000_000
     # share of answers after which a client closes its connection and opens a new one
     churn: Annotated[float, Meta(ge=0, le=1, description="a share from 0 to 1")] = 0
 
@@ -126,7 +126,7 @@
     length: Annotated[
         int, Meta(ge=1, le=MAX_LENGTH), Meta(description="a time up to 1h", extra={"unit": "ns"})
     ]
-    settle: Span = 2 * SECOND  # time without faults and new requests
+    settle: Duration = 2 * SECOND  # time without faults and new requests
     fleet: Fleet = Fleet()
     load: Load = Load()
     classes: Annotated[tuple[Class, ...], Meta(min_length=1, description="a list of at least one class")] = (
@@ -176,7 +176,7 @@
     nemesis, drawn_from = _nemesis(nemesis_raw, found) if nemesis_raw is not None else (None, ())
     if found:
         raise SettingsError(found)
-    plan_file = settings.typed(values, _PlanFile, "")
+    plan_file = settings.convert(values, _PlanFile, "")
     plan = Plan(
         plan_file.title, plan_file.length / SECOND, plan_file.settle / SECOND, plan_file.fleet,
         plan_file.load, plan_file.classes,
@@ -196,7 +196,7 @@
 
 
 class _Timing(Struct, frozen=True, kw_only=True):
-    at: Span
+    at: Duration
     lasts: Time = SECOND
 
 
@@ -257,7 +257,7 @@
         found.append(Problem("nemesis.fault", "is missing, where at least one fault is needed"))
     if len(found) > before:
         return None, ()
-    return settings.typed(values, Nemesis, "nemesis"), tuple(f for f in faults if f is not None)
+    return settings.convert(values, Nemesis, "nemesis"), tuple(f for f in faults if f is not None)
 
 
 def names(fleet: Fleet) -> dict[str, str]:
--- a/sprucenotch/settings.py
+++ b/sprucenotch/settings.py
@@ -27,7 +27,7 @@
     Annotated[int, Meta(ge=1)] | Annotated[float, Meta(ge=1, le=MAX_FLOAT)],
     Meta(description="a number of at least 1"),
 ]
-Span: TypeAlias = Annotated[Share, Meta(extra={"unit": "ns"})]  # a duration, 0 allowed
+Duration: TypeAlias = Annotated[Share, Meta(extra={"unit": "ns"})]  # a duration, 0 allowed
 Time: TypeAlias = Annotated[Count, Meta(extra={"unit": "ns"})]
 # Converted by Python's truth rules, as earlier versions did: any value but 0 and empty ones is true.
 Flag: TypeAlias = Annotated[Any, Meta(description="true or false", extra_json_schema={"type": "boolean"})]
@@ -57,7 +57,7 @@
     importance: Share = 0
     late_worth: Share = 0
     key_scope: Annotated[Literal["all", "zone", "cell"], Meta(description="all, zone or cell")] = "all"
-    window_ns: Span = 0
+    window_ns: Duration = 0
     aim_stretch: Share = 0
 
 
@@ -96,10 +96,10 @@
 class Rules(Part, frozen=True):
     """Rules of the platform on drains, cold starts and calls to discovery."""
 
-    ask_within_ns: Span = 10_000_000_000
+    ask_within_ns: Duration = 10_000_000_000
     drain_grace_ns: Time = 500_000_000
     cold_from: Share = 1
-    cold_ns: Span = 0
+    cold_ns: Duration = 0
     fall_multiple: Share = 2
 
 
@@ -301,13 +301,13 @@
 
 def read(raw: Any) -> Settings:
     """Convert settings that are already decoded from JSON. Raises SettingsError with all problems."""
-    settings = typed(raw, Settings, "settings")
+    settings = convert(raw, Settings, "settings")
     if settings.limits.retry_after:
-        judge(settings.limits, "max_retry_after_ns", Span)
+        check_limit(settings.limits, "max_retry_after_ns", Duration)
     return settings
 
 
-def judge(limits: Limits, field: str, type_: Any) -> int:
+def check_limit(limits: Limits, field: str, type_: Any) -> int:
     """Check a limit that `Limits` leaves unchecked. Return it in nanoseconds, or raise SettingsError."""
     value = getattr(limits, field)
     [name] = (
@@ -318,7 +318,7 @@
     return int(value)
 
 
-def typed(raw: Any, type_: type[T], path: str) -> T:
+def convert(raw: Any, type_: type[T], path: str) -> T:
     """Convert a decoded object to a type. Raises SettingsError with all problems."""
     try:
         return msgspec.convert(raw, type_)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -47,13 +47,13 @@
         self.config = config
         self.actions: list[api.Action] = []
         self.attached = self.give(api.Attached())
-        self.list_of(*(endpoint(n + 1) for n in range(servers)))
+        self.give_list(*(endpoint(n + 1) for n in range(servers)))
 
     def give(self, event: api.Event) -> list[api.Action]:
         self.actions = self.balancer.handle(self.now, event)
         return self.actions
 
-    def list_of(self, *entries: api.Endpoint, kind: int = api.ListKind.CACHED) -> list[api.Action]:
+    def give_list(self, *entries: api.Endpoint, kind: int = api.ListKind.CACHED) -> list[api.Action]:
         return self.give(api.EndpointList(kind, entries))
 
     def ask(self, cls: int = 0, left: int = 2 * SECOND, key: int = 0, tenant: int = 0) -> api.Action:
--- a/tests/planted_hunt.py
+++ b/tests/planted_hunt.py
@@ -122,18 +122,18 @@
 
 def retry_after_window() -> None:
     def planted(request: Any, outcome: int, now: int, budget: float, overload: bool) -> Reason | None:
-        over = now >= request.expires or request.attempts >= request.tries
+        over = now >= request.expires or request.attempts >= request.max_attempts
         return Reason.EXPIRED if over or request.cls.effect == Effect.UNSAFE else None
 
-    vars(balance)["objection"] = planted
+    vars(balance)["reason_against_retry"] = planted
     ledger.Open.wanted = lambda self, now: not self.answered  # type: ignore[method-assign]
 
 
 def repeats_what_may_have_run() -> None:
     def planted(request: Any, outcome: int, now: int, budget: float, overload: bool) -> Reason | None:
-        return Reason.EXPIRED if request.attempts >= request.tries or now >= request.expires else None
+        return Reason.EXPIRED if request.attempts >= request.max_attempts or now >= request.expires else None
 
-    vars(balance)["objection"] = planted
+    vars(balance)["reason_against_retry"] = planted
     Host._send.__globals__["Rules"].may_repeat = lambda self, request, before: True
 
 
@@ -177,7 +177,7 @@
 
 def use_stepped_clock_for_start_times() -> None:
     """D: start times of servers are compared with a clock that was stepped."""
-    Engines.reckon_births = lambda self: None  # type: ignore[method-assign]
+    Engines.update_warm_up = lambda self: None  # type: ignore[method-assign]
 
 
 def ignore_kill_deadline() -> None:
--- a/tests/test_call_schedule.py
+++ b/tests/test_call_schedule.py
@@ -81,7 +81,7 @@
 def test_schedule_after_silent_call_leaves_nearly_half_of_the_budget(
     settings: api.Settings, seed: int
 ) -> None:
-    pause = CallSchedule(seed).silent()
+    pause = CallSchedule(seed).call_timed_out()
     assert response_timeout(settings) + pause + call_budget(settings) // 2 <= call_budget(settings)
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -37,7 +37,7 @@
     sizes = []
     for zones in (1, 2):
         b = Bench(settings(zones=zones, probes=False), servers=0)
-        b.list_of(*(endpoint(n, zone=n % zones) for n in range(1, 81)))
+        b.give_list(*(endpoint(n, zone=n % zones) for n in range(1, 81)))
         b.sent()
         least = sum(map(len, b.balancer.engines.subset))
         for _ in range(16):
@@ -91,9 +91,9 @@
 def test_pick_finds_fastest_idle_members_among_slow_ones() -> None:
     """Each sidecar has to measure a slow server itself; then it must not choose that server by chance."""
     b = Bench(settings(), servers=8)
-    b.balancer.kinds[0].mean = 100.0 * MS
+    b.balancer.class_states[0].mean = 100.0 * MS
     for member in b.balancer.engines.members.values():
-        member.last_answer_at, member.pace = b.now, 0.5 if member.id[0] <= 2 else 2.0
+        member.last_answer_at, member.relative_latency = b.now, 0.5 if member.id[0] <= 2 else 2.0
     for _ in range(20):
         sends = [b.sent(), b.sent()]
         assert {send.endpoint[0] for send in sends} == {1, 2}
@@ -131,15 +131,17 @@
     [failing, *_] = b.balancer.engines.members
     failed = 0
     for member in b.balancer.engines.members.values():
-        member.inflight += member.id != failing  # the others are busy, so that the failing idle one is chosen
+        member.in_flight += (
+            member.id != failing
+        )  # the others are busy, so that the failing idle one is chosen
     for _ in range(201):
         bad = failed < 2  # two in a row, then an answer
         failed = (failed + 1) % 3
         b.answer(sent_to(b, failing), outcome if bad else api.Outcome.OK, 3 * MS)
-        assert not b.balancer.engines.members[failing].out_until
+        assert not b.balancer.engines.members[failing].ejected_until
     for _ in range(3):
         b.answer(sent_to(b, failing), outcome, 3 * MS)
-    assert b.balancer.engines.members[failing].out_until
+    assert b.balancer.engines.members[failing].ejected_until
 
 
 @pytest.mark.parametrize("aim", [125 * MS, 500 * MS])
@@ -148,7 +150,7 @@
     b = Bench(settings(request_class(aim=aim), max_attempts=1), servers=4)
     for _ in range(40):
         b.answer(b.sent(), api.Outcome.CONNECT_FAILED, MS)
-    out = [m.out_until - b.now for m in b.balancer.engines.members.values() if m.out_until]
+    out = [m.ejected_until - b.now for m in b.balancer.engines.members.values() if m.ejected_until]
     assert out and all(2 * aim < left < 10 * aim for left in out)
 
 
@@ -157,16 +159,16 @@
     b = Bench(settings(max_attempts=1), servers=2)
     dead = next(iter(b.balancer.engines.members.values()))
     for _ in range(1500):
-        b.now = max(b.now, dead.out_until) + 1
+        b.now = max(b.now, dead.ejected_until) + 1
         b.tick(0)
         arrival = api.Request(0, 0, 0, 0, b.now + SECOND, 0, False)
-        request = PendingRequest(arrival, b.balancer.kinds[0], 1, b.now)
+        request = PendingRequest(arrival, b.balancer.class_states[0], 1, b.now)
         request.sent_at = b.now
         b.balancer.record_outcome(
             dead, api.Completed(0, 0, dead.id, api.Outcome.RESET, 1, False, ()), request, b.now
         )
     assert dead.ejections > 1100
-    assert b.now < dead.out_until <= b.now + int(1.25 * engines.MAX_EJECTION_AIMS * b.balancer.aim)
+    assert b.now < dead.ejected_until <= b.now + int(1.25 * engines.MAX_EJECTION_AIMS * b.balancer.aim)
 
 
 def test_simultaneous_failures_count_as_one() -> None:
@@ -174,12 +176,12 @@
     b = Bench(settings(max_attempts=1), servers=4)
     members = b.balancer.engines.members.values()
     for failed in range(engines.FAILURES_TO_EJECT):
-        assert not any(m.out_until for m in members), failed
+        assert not any(m.ejected_until for m in members), failed
         sends = [b.sent() for _ in range(40)]
         b.now += 500 * MS
         for send in sends:
             b.answer(send, api.Outcome.TIMEOUT, 500 * MS)
-    assert all(m.out_until for m in members)  # each round was sent after the previous one had failed
+    assert all(m.ejected_until for m in members)  # each round was sent after the previous one had failed
 
 
 def test_full_servers_are_not_ejected() -> None:
@@ -187,7 +189,7 @@
     for i in range(200):
         b.now += 5 * MS
         b.answer(b.sent(), api.Outcome.FULL if i % 50 else api.Outcome.TIMEOUT, 3 * MS)
-    assert not any(m.out_until for m in b.balancer.engines.members.values())
+    assert not any(m.ejected_until for m in b.balancer.engines.members.values())
 
 
 @pytest.mark.parametrize("servers", [1, 3, 4, 7])
@@ -206,9 +208,9 @@
     one, two = (n.to_bytes(6, "little") for n in (1, 2))
     b.give(api.EndpointList(api.ListKind.DELTA, (endpoint(1, api.Health.DRAINING),)))
     assert {b.sent().endpoint for _ in range(20)} == {two}
-    b.list_of(endpoint(1), kind=api.ListKind.FULL)  # two is missing from a complete list: gone
+    b.give_list(endpoint(1), kind=api.ListKind.FULL)  # two is missing from a complete list: gone
     assert {b.sent().endpoint for _ in range(20)} == {one}
-    b.list_of(kind=api.ListKind.FULL)
+    b.give_list(kind=api.ListKind.FULL)
     assert isinstance(b.ask(), api.Refuse)
 
 
@@ -226,7 +228,7 @@
     sent = Counter[bool]()
     for seed in range(100):
         b = Bench(settings(instance=seed, instances=100), servers=0, seed=seed)
-        b.list_of(*(endpoint(n, started=START - SECOND if n == 1 else 0) for n in range(1, 9)))
+        b.give_list(*(endpoint(n, started=START - SECOND if n == 1 else 0) for n in range(1, 9)))
         for _ in range(40):
             sent[answered(b) == (1).to_bytes(6, "little")] += 1
     fair, warmth = 4000 / 8, 0.3 + 0.7 / 8
@@ -236,7 +238,7 @@
 def test_cold_zone_earns_credit_from_warm_zone() -> None:
     """A zone that restarted as a whole has no warm members of its own, and had stayed idle until warm."""
     b = Bench(settings(zones=2, zone=1), servers=0)
-    b.list_of(*(endpoint(n, zone=n // 5, started=START - SECOND if n < 5 else 0) for n in range(1, 9)))
+    b.give_list(*(endpoint(n, zone=n // 5, started=START - SECOND if n < 5 else 0) for n in range(1, 9)))
     sent = Counter(answered(b)[0] < 5 for _ in range(200))
     fair, warmth = 200 / 8, 0.3 + 0.7 / 8
     assert 2 * fair * warmth < sent[True] <= 200 * warmth
@@ -244,7 +246,7 @@
 
 def test_cold_members_without_warm_ones_get_a_trickle() -> None:
     odd = Bench(settings(), servers=0)
-    odd.list_of(endpoint(1, started=START + 9 * SECOND))  # a start in the future: just started
+    odd.give_list(endpoint(1, started=START + 9 * SECOND))  # a start in the future: just started
     assert not answered(odd)  # nothing at once, as all sidecars would send
     sent = 0
     for _ in range(12):
@@ -257,14 +259,14 @@
     b = Bench(settings(), servers=8)
     for _ in range(100):
         answered(b)
-    b.list_of(*(endpoint(n, started=b.now if n < 5 else 0) for n in range(1, 9)))
+    b.give_list(*(endpoint(n, started=b.now if n < 5 else 0) for n in range(1, 9)))
     assert answered(b)[0] >= 5
 
 
 def test_unanswered_sends_earn_no_cold_credit() -> None:
     """Credit per send, during a retry storm, had given cold servers four times their capacity."""
     b = Bench(settings(request_class(late_worth=0.5), max_attempts=1), servers=0)
-    b.list_of(*(endpoint(n, started=START - SECOND if n == 1 else 0) for n in range(1, 9)))
+    b.give_list(*(endpoint(n, started=START - SECOND if n == 1 else 0) for n in range(1, 9)))
     for _ in range(400):
         if isinstance(send := b.ask(), api.Send):
             assert send.endpoint[0] != 1
@@ -283,9 +285,9 @@
 def test_requests_stay_local_and_cross_only_with_enough_worth() -> None:
     cheap, dear = request_class(worth=1.0), request_class(worth=9.0)
     b = Bench(settings(cheap, dear, zones=2, cross_price=0.4), servers=0)
-    b.list_of(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
+    b.give_list(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
     assert all(b.sent(1).endpoint[0] % 2 == 0 for _ in range(8))
-    b.balancer.crossing = 1.0
+    b.balancer.crossing_share = 1.0
     assert all(b.sent(1).endpoint[0] % 2 == 1 for _ in range(8))
     assert all(b.sent(0).endpoint[0] % 2 == 0 for _ in range(8))  # not worth the price of crossing
 
@@ -319,7 +321,7 @@
 
 def test_endpoint_in_unknown_zone_is_used() -> None:
     b = Bench(settings(), servers=0)
-    b.list_of(endpoint(1, zone=9))
+    b.give_list(endpoint(1, zone=9))
     b.answer(b.sent())
 
 
@@ -331,7 +333,7 @@
     for _ in range(20):
         b.ask()
     b.tick()
-    b.balancer.engines.refill(b.now)
+    b.balancer.engines.choose_subset(b.now)
     assert len(b.balancer.engines.subset[0]) == engines.MIN_SUBSET_PRICED
 
 
@@ -340,7 +342,7 @@
     sent = Counter[int]()
     for seed in range(100):
         b = Bench(settings(instance=seed, instances=100, fall_multiple=2.5), servers=0, seed=seed)
-        b.list_of(*(endpoint(n, started=START - SECOND if n <= 6 else 0) for n in range(1, 9)))
+        b.give_list(*(endpoint(n, started=START - SECOND if n <= 6 else 0) for n in range(1, 9)))
         for _ in range(12):
             sent[int.from_bytes(answered(b), "little")] += 1
     fair = 1200 * (0.3 + 0.7 / 8) / 2  # sends to cold ones are earned by the warm ones' answers
@@ -350,7 +352,7 @@
 
 def test_cold_endpoint_gets_no_retries() -> None:
     b = Bench(settings(request_class(late_worth=0.5)), servers=0)
-    b.list_of(endpoint(1), *(endpoint(n, started=START - 4 * SECOND) for n in range(2, 9)))
+    b.give_list(endpoint(1), *(endpoint(n, started=START - 4 * SECOND) for n in range(2, 9)))
     for _ in range(40):
         if isinstance(send := b.ask(), api.Send) and send.endpoint[0] == 1:
             again = b.answer(send, api.Outcome.ERROR, 5 * MS)
@@ -367,7 +369,7 @@
 def asking(left: int = 3 * SECOND, **changes: object) -> tuple[Bench, list[bytes]]:
     """Return a sidecar that has just received request 1, and the members that it probed."""
     b = Bench(settings(request_class(late_worth=0.5), **(PROBING | changes)), servers=0)
-    b.list_of(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
+    b.give_list(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
     return b, probes(b.give(api.Request(1, 0, 0, 0, b.now + left, 0, False)))
 
 
@@ -432,17 +434,17 @@
     b, _ = asking(cross_price=0.1)
     b.balancer.zone_stats = [[6.0, 10.0, 10.0, 10.0], [0.0, 10.0, 10.0, 10.0]]
     b.balancer.adjust_cut_and_crossing(b.now + SECOND)
-    risen = b.balancer.crossing
+    risen = b.balancer.crossing_share
     assert 0 < risen < 0.5
     b.balancer.zone_stats = [[1.0, 10.0, 10.0, 10.0], [3.0, 10.0, 10.0, 10.0]]
     b.balancer.adjust_cut_and_crossing(b.now + SECOND)
-    assert b.balancer.crossing < risen
+    assert b.balancer.crossing_share < risen
 
 
 def test_idle_remote_endpoint_is_preferred_to_busy_local_one() -> None:
     """Six local and two remote endpoints: one request each, then the less busy of both zones."""
     b = Bench(settings(zones=2, zone=0), servers=0)
-    b.list_of(*(endpoint(n, zone=int(n > 6)) for n in range(1, 9)))
+    b.give_list(*(endpoint(n, zone=int(n > 6)) for n in range(1, 9)))
     sends = [b.sent() for _ in range(8)]
     assert [s.endpoint[0] > 6 for s in sends] == [False] * 6 + [True] * 2
     assert len({s.endpoint for s in sends}) == 8
@@ -453,7 +455,7 @@
 
 def test_idle_remote_endpoint_is_not_used_above_its_price() -> None:
     b = Bench(settings(zones=2, zone=0, cross_price=2.0), servers=0)
-    b.list_of(*(endpoint(n, zone=int(n > 3)) for n in range(1, 7)))
+    b.give_list(*(endpoint(n, zone=int(n > 3)) for n in range(1, 7)))
     assert {b.sent().endpoint[0] > 3 for _ in range(12)} == {False}
 
 
@@ -479,12 +481,12 @@
     b.tick()
     assert b.balancer.admission.cut == 0 and not b.balancer.pending
     assert b.give(api.Completed(send.id, 0, send.endpoint, api.Outcome.RESET, 30 * SECOND, True, ())) == []
-    assert b.balancer.flying == 0
+    assert b.balancer.attempts_in_flight == 0
 
 
 def test_zone_with_all_endpoints_ejected_is_avoided() -> None:
     b = Bench(settings(max_attempts=1, zones=2, zone=0), servers=0)
-    b.list_of(*(endpoint(n, zone=int(n > 3)) for n in range(1, 8)))
+    b.give_list(*(endpoint(n, zone=int(n > 3)) for n in range(1, 8)))
     home = {endpoint(n).id for n in range(1, 4)}
     for _ in range(60):
         send = b.sent()
@@ -528,13 +530,13 @@
 def test_failed_connects_reduce_crossing() -> None:
     """An unreachable zone shows no waits: by the difference of waits alone it would get ever more traffic."""
     b = Bench(settings(zones=2), servers=0)
-    b.list_of(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
-    b.balancer.crossing = 1.0
+    b.give_list(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
+    b.balancer.crossing_share = 1.0
     for _ in range(10):
         if isinstance(send := b.ask(), api.Send) and send.endpoint[0] % 2:
             b.answer(send, api.Outcome.CONNECT_FAILED, MS)
             b.give(api.Gone(send.id))
-    assert b.balancer.crossing < 0.6
+    assert b.balancer.crossing_share < 0.6
 
 
 def test_request_being_uploaded_counts_no_wait_until_complete() -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -47,10 +47,10 @@
         self.number += 1
         heapq.heappush(self.due, (self.now + delay, self.number, process, send))
 
-    def list_of(self, *entries: api.Endpoint, kind: int = api.ListKind.FULL) -> None:
+    def give_list(self, *entries: api.Endpoint, kind: int = api.ListKind.FULL) -> None:
         for bench in self.benches:
             bench.now = self.now
-            bench.list_of(*entries, kind=kind)
+            bench.give_list(*entries, kind=kind)
 
     def run_until(self, until: int) -> None:
         while self.due and self.due[0][0] <= until:
@@ -97,10 +97,10 @@
     members as credit per answer of a warm member, and spend one per send. In a window T they send at most
     `warmth * (answers of a warm server in T) + S`; the S only if all were just below a whole credit."""
     fleet = Fleet(processes)
-    fleet.list_of(*(endpoint(n) for n in range(servers)))
+    fleet.give_list(*(endpoint(n) for n in range(servers)))
     fleet.load(4, servers * CAPACITY)
     started = fleet.now
-    fleet.list_of(*(endpoint(n, started=0 if n else started) for n in range(servers)))
+    fleet.give_list(*(endpoint(n, started=0 if n else started) for n in range(servers)))
     before = len(fleet.sends)
     fleet.load(12, servers * CAPACITY)
     sent = [at for at in fleet.sent(0) if at >= started]
@@ -113,10 +113,10 @@
     fleet = Fleet(30, zones=2, cross_price=5.0)
     first = [endpoint(n) for n in range(6)]
     across = [endpoint(n, zone=1, started=fleet.now) for n in range(6, 12)]
-    fleet.list_of(*first, *across)
+    fleet.give_list(*first, *across)
     fleet.load(12, 6 * CAPACITY)
     started = fleet.now
-    fleet.list_of(endpoint(0, started=started), kind=api.ListKind.DELTA)
+    fleet.give_list(endpoint(0, started=started), kind=api.ListKind.DELTA)
     fleet.load(6, 6 * CAPACITY)
     sent = [at for at in fleet.sent(0) if at >= started]
     assert not any(fleet.sent(n) for n in range(6, 12))
@@ -130,9 +130,9 @@
     fleet = Fleet(processes)
     started = fleet.now
     listed = [endpoint(n, started=started) for n in range(servers)]
-    fleet.list_of(*listed)
+    fleet.give_list(*listed)
     for _ in range(120):
-        fleet.list_of(listed[0], kind=api.ListKind.DELTA)
+        fleet.give_list(listed[0], kind=api.ListKind.DELTA)
         fleet.load(0.05, 8 * servers * CAPACITY)  # refused clients retry
     seconds = 120 * 0.05
     assert 0 < len(fleet.sends) <= servers * seconds + processes
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -47,7 +47,7 @@
 
 @given(st.integers(0, 10**18), st.sampled_from((units.NANOSECONDS, units.BYTES)))
 def test_parsed_unit_text_equals_the_value_that_was_formatted(value: int, known: dict[str, int]) -> None:
-    assert units.parse(units.spell(value, known), known) == value
+    assert units.parse(units.format_value(value, known), known) == value
 
 
 def test_toml_and_json_formats_give_the_same_configuration() -> None:
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize(
     ("name", "generate"),
-    [("config.schema.json", schema.platform), ("config.toml.schema.json", schema.by_hand)],
+    [("config.schema.json", schema.json_form), ("config.toml.schema.json", schema.toml_form)],
 )
 def test_shipped_schema_equals_the_generated_one(name: str, generate: Any) -> None:
     assert json.loads((ROOT / "docs" / name).read_text()) == generate()
--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -156,7 +156,7 @@
         b.sent()
     for _ in range(2):
         b.tick(0.25)
-    assert b.balancer.pressure > b.balancer.over and b.balancer.admission.cut > 0
+    assert b.balancer.pressure > b.balancer.overload_threshold and b.balancer.admission.cut > 0
 
 
 def test_start_in_overload_is_not_taken_as_base_latency() -> None:
@@ -168,7 +168,7 @@
                 b.answer(send, took=int(0.8 * aim))
         b.tick(0.25)
     assert b.balancer.admission.cut > 0
-    assert b.balancer.kinds[0].base < 0.3 * aim < b.balancer.kinds[0].mean
+    assert b.balancer.class_states[0].base < 0.3 * aim < b.balancer.class_states[0].mean
 
 
 def test_own_zone_missing_in_settings_still_serves() -> None:
@@ -181,17 +181,17 @@
 def test_waits_in_other_zones_raise_cut() -> None:
     """All local servers have just restarted and are cold: waits in the other zone show the overload."""
     b = bench(zones=2)
-    b.balancer.admission.spread[0] = 100.0
+    b.balancer.admission.keyless_arrivals[0] = 100.0
     b.balancer.zone_stats = [[0.0, 0.0, 0.0, 0.0], [20.0, 20.0, 20.0, 10.0]]
     b.balancer.adjust_cut_and_crossing(b.now)
-    assert b.balancer.pressure > b.balancer.over and b.balancer.admission.cut > 0
+    assert b.balancer.pressure > b.balancer.overload_threshold and b.balancer.admission.cut > 0
 
 
 def test_slow_service_of_cold_servers_is_not_a_wait() -> None:
     """After many restarts service takes longer without queues; that must not shed requests."""
     b = bench(cold_from=0.17, cold_for=24 * SECOND)
     started = b.now
-    b.list_of(endpoint(1), *(endpoint(n, started=started) for n in range(2, 14)))
+    b.give_list(endpoint(1), *(endpoint(n, started=started) for n in range(2, 14)))
     cold = 0
     for _ in range(8):
         for _ in range(10):
@@ -202,14 +202,14 @@
         b.tick(0.25)
     assert cold > 20
     assert abs(b.balancer.pressure) < 0.05 and b.balancer.admission.cut == 0
-    assert b.balancer.kinds[0].mean == pytest.approx(50 * MS, rel=0.1)
+    assert b.balancer.class_states[0].mean == pytest.approx(50 * MS, rel=0.1)
 
 
 def test_timeout_at_cold_server_counts_by_warmth() -> None:
     pressures = []
     for age in (1, 24):
         b = bench(cold_from=0.2, cold_for=24 * SECOND)
-        b.list_of(*(endpoint(n + 1, started=b.now - age * SECOND) for n in range(6)))
+        b.give_list(*(endpoint(n + 1, started=b.now - age * SECOND) for n in range(6)))
         for _ in range(6):
             b.tick(0.25)
             if isinstance(send := b.ask(), api.Send):
@@ -222,7 +222,7 @@
     """While queues drain, answers to old sends are late; each of them had raised the cut further."""
     b = bench()
     b.balancer.zone_stats[0] = [20.0, 20.0, 10.0, 20.0]
-    b.balancer.admission.spread[0] = 100.0
+    b.balancer.admission.keyless_arrivals[0] = 100.0
     b.balancer.adjust_cut_and_crossing(b.now)
     assert b.balancer.admission.cut == 0
     b.balancer.zone_stats[0] = [20.0, 20.0, 20.0, 10.0]
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -58,9 +58,13 @@
     b = overloaded_bench(seed)
     sooner, later = (successor(b, age) for age in ages)
     one, other = (new.balancer.learned(new.now) for new in (sooner, later))
-    assert one.cut >= other.cut and one.peak >= other.peak and one.crossing >= other.crossing
-    assert sum(one.histogram.values()) >= sum(other.histogram.values()) and sum(one.spread) >= sum(
-        other.spread
+    assert (
+        one.cut >= other.cut
+        and one.peak_in_flight >= other.peak_in_flight
+        and one.crossing_share >= other.crossing_share
+    )
+    assert sum(one.histogram.values()) >= sum(other.histogram.values()) and sum(one.keyless_arrivals) >= sum(
+        other.keyless_arrivals
     )
     for a, z in zip(one.engines, other.engines, strict=True):
         assert a.ejected_for >= z.ejected_for and (
@@ -68,7 +72,7 @@
         )
     gone = successor(b, HOUR).balancer
     assert gone.admission.cut < 1 and not any(
-        m.out_until > b.now + HOUR for m in gone.engines.members.values()
+        m.ejected_until > b.now + HOUR for m in gone.engines.members.values()
     )
     assert gone.budget <= b.balancer.budget  # a restart gains no retries
 
@@ -83,9 +87,9 @@
     )
     new = Bench(b.config, servers=0)
     new.now = b.now
-    new.list_of(*(endpoint(n + 1, started=b.now) for n in range(8)))
+    new.give_list(*(endpoint(n + 1, started=b.now) for n in range(8)))
     new.give(api.Recalled(exported, 0))
-    assert all(not m.last_answer_at and not m.out_until for m in new.balancer.engines.members.values())
+    assert all(not m.last_answer_at and not m.ejected_until for m in new.balancer.engines.members.values())
 
 
 NUMBERS = st.floats() | st.sampled_from((math.nan, math.inf, -math.inf, -1.0, 1e300))
@@ -110,11 +114,18 @@
 def test_invalid_learned_values_leave_state_in_bounds(exported: api.Learned, age: int) -> None:
     b = successor(overloaded_bench(1), age, exported)
     now = b.balancer.learned(b.now)
-    assert 0 <= now.cut <= b.balancer.admission.top and 0 <= now.crossing <= 1 and 0 <= now.budget <= 5
-    assert 0 <= now.peak <= 1e5 and all(0 <= x <= 2e9 for x in (*now.histogram.values(), *now.spread))
+    assert (
+        0 <= now.cut <= b.balancer.admission.max_level
+        and 0 <= now.crossing_share <= 1
+        and 0 <= now.budget <= 5
+    )
+    assert 0 <= now.peak_in_flight <= 1e5 and all(
+        0 <= x <= 2e9 for x in (*now.histogram.values(), *now.keyless_arrivals)
+    )
     assert all(0 <= k.base <= k.aim / 2 and math.isfinite(k.mean + sum(k.latency)) for k in now.classes)
     assert all(
-        0 <= e.failure_rate <= 1 and 0 <= e.pace <= 1e3 and e.ejected_for <= 60 * SECOND for e in now.engines
+        0 <= e.failure_rate <= 1 and 0 <= e.relative_latency <= 1e3 and e.ejected_for <= 60 * SECOND
+        for e in now.engines
     )
     b.now += SECOND
     b.give(api.Timer(0))
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -218,8 +218,8 @@
             hosts = {"seq": 2, "whole": False, "hosts": [entry("s-3", "127.0.0.1:9", "draining")]}
             node.host.learn(config.host_list(hosts, node.config.names), api.ListKind.DELTA)
             balancer = node.host._balancer
-            balancer.engines.members[config.endpoint_id("s-0")].out_until = node.host.now() + 10**12
-            balancer.engines.refill(node.host.now())
+            balancer.engines.members[config.endpoint_id("s-0")].ejected_until = node.host.now() + 10**12
+            balancer.engines.choose_subset(node.host.now())
             figures = node.host.standing.figures()
             assert (figures["known_quote_engines"], figures["skipped_quote_engines"]) == (4, 2)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -153,7 +153,7 @@
         async with endpoint(nonsense) as served, sidecar(served.dial) as node:
             code, _, _ = await (await node.client()).ask(request("post"))
             assert code == 502
-            assert [m.out_until for m in node.host._balancer.engines.members.values()] == [0]
+            assert [m.ejected_until for m in node.host._balancer.engines.members.values()] == [0]
 
     run(test())
 
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -60,34 +60,37 @@
 
 def test_learned_values_follow_the_class_name() -> None:
     b = Bench(settings(CHEAP, MIDDLE))
-    for kind, mean in zip(b.balancer.kinds, (20 * MS, 70 * MS), strict=True):
+    for kind, mean in zip(b.balancer.class_states, (20 * MS, 70 * MS), strict=True):
         kind.mean = kind.base = mean
     retune(b, DEAR, MIDDLE, CHEAP)
-    assert [k.mean for k in b.balancer.kinds] == [0.0, 70 * MS, 20 * MS]
-    assert [k.business for k in b.balancer.kinds] == [2, 1, 0]
+    assert [k.mean for k in b.balancer.class_states] == [0.0, 70 * MS, 20 * MS]
+    assert [k.business_level for k in b.balancer.class_states] == [2, 1, 0]
 
 
 def test_learned_engine_state_is_kept() -> None:
     b = Bench(settings(CHEAP, MIDDLE))
     member = b.balancer.engines.members[b.sent(0).endpoint]
-    member.out_until, member.ejections, member.pace = b.now + SECOND, 2, 3.0
+    member.ejected_until, member.ejections, member.relative_latency = b.now + SECOND, 2, 3.0
     retune(b, MIDDLE)
     assert b.balancer.engines.members[member.id] is member
-    assert (member.inflight, member.ejections, member.pace) == (1, 2, 3.0)
-    assert b.balancer.flying == 1
+    assert (member.in_flight, member.ejections, member.relative_latency) == (1, 2, 3.0)
+    assert b.balancer.attempts_in_flight == 1
 
 
 def test_cut_and_histogram_move_with_class_levels() -> None:
     b = Bench(settings(CHEAP, DEAR))
     b.balancer.admission.cut = USER_LEVELS + 32.0  # the whole cheap class, a quarter of the dear one
     b.balancer.admission.histogram = {5: 2.0, USER_LEVELS + 7: 3.0}
-    b.balancer.admission.spread = [40.0, 10.0]
+    b.balancer.admission.keyless_arrivals = [40.0, 10.0]
     retune(b, CHEAP, MIDDLE, DEAR)
-    assert b.balancer.admission.cut == 2 * USER_LEVELS + 32.0 and b.balancer.admission.top == 3 * USER_LEVELS
+    assert (
+        b.balancer.admission.cut == 2 * USER_LEVELS + 32.0
+        and b.balancer.admission.max_level == 3 * USER_LEVELS
+    )
     assert b.balancer.admission.histogram == {5: 2.0, 2 * USER_LEVELS + 7: 3.0}
-    assert b.balancer.admission.spread == [40.0, 0.0, 10.0]
+    assert b.balancer.admission.keyless_arrivals == [40.0, 0.0, 10.0]
     retune(b, CHEAP, MIDDLE)  # the class at the cut was removed
-    assert b.balancer.admission.cut == 0.0 and b.balancer.admission.spread == [40.0, 0.0]
+    assert b.balancer.admission.cut == 0.0 and b.balancer.admission.keyless_arrivals == [40.0, 0.0]
 
 
 def test_zero_cut_stays_zero_when_cheaper_class_is_added() -> None:
@@ -101,21 +104,23 @@
     b = Bench(settings(CHEAP, DEAR))
     b.sent(0, key=7)
     b.balancer.admission.cut = 130.0
-    before = copy.deepcopy({k: v for k, v in vars(b.balancer).items() if k in ("histogram", "spread", "cut")})
+    before = copy.deepcopy(
+        {k: v for k, v in vars(b.balancer).items() if k in ("histogram", "keyless_arrivals", "cut")}
+    )
     retune(b, CHEAP, DEAR)
     assert {k: getattr(b.balancer, k) for k in before} == before
 
 
 def test_shortened_aim_keeps_estimates_in_range() -> None:
     b = Bench(settings(request_class(name="c", aim=800 * MS)))
-    b.balancer.kinds[0].mean = b.balancer.kinds[0].base = 100.0 * MS
+    b.balancer.class_states[0].mean = b.balancer.class_states[0].base = 100.0 * MS
     under_way = b.sent(0)
     retune(b, request_class(name="c", aim=100 * MS))
     b.tick()
     b.answer(under_way, took=300 * MS)
     for _ in range(5):
         b.tick()
-        assert abs(b.balancer.pressure) <= 2 and b.balancer.over > 0
+        assert abs(b.balancer.pressure) <= 2 and b.balancer.overload_threshold > 0
 
 
 # ---- the file
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -264,7 +264,7 @@
 def test_keyed_retry_stays_in_group_and_window(scope: Scope) -> None:
     keyed = request_class(effect=Effect.KEYED, scope=scope, window=200 * MS, late_worth=0.5)
     b = Bench(settings(keyed, zones=2), servers=0)
-    b.list_of(*(endpoint(n, zone=n % 2, cell=n % 4) for n in range(1, 17)))
+    b.give_list(*(endpoint(n, zone=n % 2, cell=n % 4) for n in range(1, 17)))
     for wait, again in ((50, True), (250, False)):
         for _ in range(30):
             b.answer(b.sent())
@@ -304,10 +304,10 @@
     cls = request_class(effect=api.Effect.KEYED, scope=api.Scope.CELL)
     for cells, sent_again in (((1, 1), True), ((2, 1), False), ((2, 2), False)):
         bench = Bench(settings(cls), servers=0)
-        bench.list_of(endpoint(1, cell=1))
+        bench.give_list(endpoint(1, cell=1))
         send = bench.sent()
         listed = [endpoint(1, cell=cells[0]), endpoint(2, cell=cells[1])]
-        bench.list_of(*listed, kind=api.ListKind.FULL)
+        bench.give_list(*listed, kind=api.ListKind.FULL)
         [action] = bench.answer(send, api.Outcome.RESET)
         assert isinstance(action, api.Send if sent_again else api.Fail)
         if isinstance(action, api.Send):
--- a/tests/test_whole_list.py
+++ b/tests/test_whole_list.py
@@ -85,6 +85,6 @@
     b, asked = asking()
     b.give(api.Probed(asked[0], Outcome.OK, 5 * MS, ()))  # answers of the same loop turn are awaited
     others = [listed(n, zone=n % 2) for n in range(1, 17)]
-    b.list_of(*(e for e in others if e.id != asked[0]), kind=api.ListKind.FULL)
+    b.give_list(*(e for e in others if e.id != asked[0]), kind=api.ListKind.FULL)
     for action in b.give(api.Timer(1 + 1)):
         assert not (isinstance(action, api.Send | api.Probe) and action.endpoint == asked[0])
