--- a/sprucenotch/api.py
+++ b/sprucenotch/api.py
@@ -145,17 +145,17 @@
     cls: int  # index into Settings.classes
     tenant: int  # index into Settings.tenants
     key: int  # hash of its key; 0: none
-    expires: int  # time at which the client abandons this try
+    expires_at: int  # time at which the client abandons this try
     hint: int  # expected work; 0: none
     repeat: bool  # marked by the client as a repeat
     uploading: bool = False  # the body is still being received: its deadline counts from Uploaded
 
 
 class Uploaded(NamedTuple):
-    """The body of a request with `coming` set is complete."""
+    """The body of a request with `uploading` set is complete."""
 
     id: int
-    expires: int
+    expires_at: int
 
 
 class Completed(NamedTuple):
@@ -288,7 +288,7 @@
     id: int
     endpoint: EndpointId
     timeout: int  # 0: until the client gives up
-    before: int = 0  # latest time to send it, as a later repeat would run twice; 0: no limit
+    send_before: int = 0  # latest time to send it, as a later repeat would run twice; 0: no limit
 
 
 class Reason(StrEnum):
@@ -309,7 +309,7 @@
     """Final answer: refused; a retry by the client is harmless."""
 
     id: int
-    stay_away: int  # retry-after advice to the client in nanoseconds; 0: none
+    retry_after: int  # retry-after advice to the client in nanoseconds; 0: none
     why: Reason
 
 
--- a/sprucenotch/node/attempt.py
+++ b/sprucenotch/node/attempt.py
@@ -20,11 +20,11 @@
 class Purpose(Protocol):
     """What an attempt is made for: it can cancel the attempt before the request is sent."""
 
-    def wanted(self, now: int) -> bool:
+    def may_send(self, now: int) -> bool:
         """Return whether the request may still be sent. `now` is in nanoseconds."""
         ...
 
-    def sent(self, pool: Pool) -> None:
+    def on_first_byte_sent(self, pool: Pool) -> None:
         """Called once the first byte of the request has been sent."""
         ...
 
@@ -32,10 +32,10 @@
 class AlwaysWanted:
     """A purpose that never cancels the attempt."""
 
-    def wanted(self, now: int) -> bool:
+    def may_send(self, now: int) -> bool:
         return True
 
-    def sent(self, pool: Pool) -> None:
+    def on_first_byte_sent(self, pool: Pool) -> None:
         pass
 
 
@@ -49,8 +49,20 @@
     """
 
     __slots__ = (
-        "__weakref__", "_connect", "_connection", "_done", "_eager_from", "_failed_locally", "_location",
-        "_payload", "_pool", "_purpose", "_rest", "_upload", "_upstream", "_written",
+        "__weakref__",
+        "_connect",
+        "_connection",
+        "_done",
+        "_failed_locally",
+        "_location",
+        "_payload",
+        "_pool",
+        "_purpose",
+        "_rest",
+        "_stream_from",
+        "_upload",
+        "_upstream",
+        "_written",
     )  # fmt: skip
 
     def __init__(
@@ -70,7 +82,7 @@
         self._connection: Connection | None = None
         self._connect: asyncio.Task[None] | None = None
         self._rest: asyncio.TimerHandle | None = None  # while it waits until an idle connection may be reused
-        self._eager_from = NEVER
+        self._stream_from = NEVER
         self._failed_locally = False  # whether the last connect failed on this machine
 
     def start(self) -> None:
@@ -88,26 +100,26 @@
             self._end(Outcome.LOCAL_FAILURE, None)
 
     def _on_reuse_delay_over(self) -> None:
-        if not self._purpose.wanted(self._upstream.now()):
+        if not self._purpose.may_send(self._upstream.now()):
             self._end(Outcome.MOOT, None)
         elif self._pool.health != Health.READY:
             self._end(Outcome.CONNECT_FAILED, None)
         else:
             self.start()
 
-    def hasten(self, at: int) -> None:
+    def set_stream_from(self, at: int) -> None:
         """Stop holding back answers from `at` on, in nanoseconds of the monotonic clock.
 
         An answer is held back so that the request can still be retried; after `at` there is no time for
         another attempt.
         """
-        self._eager_from = at
+        self._stream_from = at
         if self._connection is not None:
-            self._connection.eager_from = at
+            self._connection.stream_from = at
 
     @property
     def _whole(self) -> bool:
-        return self._connection is not None and self._connection.whole
+        return self._connection is not None and self._connection.request_sent
 
     @property
     def partial(self) -> bool:
@@ -157,21 +169,21 @@
         removed or moved to another address, zone or cell (where retries are not deduplicated with earlier
         attempts), the client may have left, the deadline may have passed.
         """
-        wanted = self._purpose.wanted(self._upstream.now())
-        if not (wanted and self._pool.takes(connection) and self._pool.location == self._location):
+        may_send = self._purpose.may_send(self._upstream.now())
+        if not (may_send and self._pool.takes(connection) and self._pool.location == self._location):
             self._upstream.give(self._pool, connection)
-            self._end(Outcome.CONNECT_FAILED if wanted else Outcome.MOOT, None)
+            self._end(Outcome.CONNECT_FAILED if may_send else Outcome.MOOT, None)
             return
         self._connection = connection
         free = partial(self._upstream.give, self._pool, connection)
         if not connection.send(self._payload(), self._answered, self._written, free, self._upload):
             self._end(Outcome.CONNECT_FAILED, None)
         else:
-            connection.eager_from = self._eager_from
-            self._purpose.sent(self._pool)
+            connection.stream_from = self._stream_from
+            self._purpose.on_first_byte_sent(self._pool)
 
     def _answered(self, answer: Answer | None) -> None:
-        if answer is None and self._connection is not None and not self._connection.whole:
+        if answer is None and self._connection is not None and not self._connection.request_sent:
             self._end(Outcome.CONNECT_FAILED, None)  # closed before the last byte was sent: never executed
         else:
             self._end(outcome_of(answer), answer)
--- a/sprucenotch/node/connection.py
+++ b/sprucenotch/node/connection.py
@@ -10,10 +10,18 @@
 import httptools
 
 from sprucenotch.node.config import Address
-from sprucenotch.node.stream import LAST_CHUNK, READ_BUFFER, STALL_TIMEOUT, WHOLE_MOST, Stream, chunk, nothing
+from sprucenotch.node.stream import (
+    LAST_CHUNK,
+    MAX_BUFFERED_BODY_SIZE,
+    READ_BUFFER,
+    STALL_TIMEOUT,
+    Stream,
+    chunk,
+    nothing,
+)
 from sprucenotch.node.transport import SocketTransport
 
-HEAD_MOST = 32 * 1024
+MAX_HEAD_SIZE = 32 * 1024
 HEADER_WHITESPACE = b" \t"  # optional whitespace around a header value
 
 Headers: TypeAlias = list[tuple[bytes, bytes]]
@@ -25,7 +33,7 @@
     status: int
     headers: Headers
     body: bytes
-    rest: Stream | None = None  # replaces the body of a streamed answer
+    body_stream: Stream | None = None  # replaces the body of a streamed answer
     head_time_ns: int = 0  # monotonic time at which the head of a streamed answer arrived
 
     def header(self, name: bytes) -> bytes | None:
@@ -52,14 +60,14 @@
         self._answer_stream: Stream | None = None  # the body of a streamed answer
         self._answer: Answer | None = None
         self._answer_complete = False  # the last byte of the answer has arrived
-        self.eager_from = NEVER  # from then on an answer of unknown length is streamed
+        self.stream_from = NEVER  # from then on an answer of unknown length is streamed
         self._write_blocked = self._paused = False
-        self.whole = False  # the last byte of the request has been sent
+        self.request_sent = False  # the last byte of the request has been sent
         self._stall_timer: asyncio.TimerHandle | None = None
         self.idle_since = self.rests_until = 0
         self.dial: Address | None = None  # of the endpoint
-        self.body_most = WHOLE_MOST
-        self.streams = False  # a longer body is streamed; otherwise it is an error
+        self.max_body_size = MAX_BUFFERED_BODY_SIZE
+        self.may_stream = False  # a longer body is streamed; otherwise it is an error
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(SocketTransport, transport)
@@ -105,7 +113,7 @@
             return False
         self._on_answer, self._on_written, self._on_finished = on_answer, on_written, on_finished
         self._upload, self._answer_stream = upload, None
-        self._request_written, self.whole = upload is None, False
+        self._request_written, self.request_sent = upload is None, False
         if upload is not None:
             upload.attach(self)
         elif not self._write_blocked:
@@ -159,7 +167,7 @@
 
     def _request_sent(self) -> None:
         """Note that the last byte was sent: if the connection breaks now, the request may have run."""
-        self.whole = True
+        self.request_sent = True
         self._on_written()
 
     def pause_writing(self) -> None:
@@ -171,7 +179,7 @@
         self._watch_progress()
         if self._on_answer is None:
             return
-        if self._request_written and not self.whole:
+        if self._request_written and not self.request_sent:
             self._request_sent()
         elif self._upload is not None:
             self._upload.set_paused(False)
@@ -213,7 +221,7 @@
         if self._malformed:
             self._finish(UNREADABLE, False)
             return
-        if self._length_unknown and self._answer_stream is None and time.monotonic_ns() >= self.eager_from:
+        if self._length_unknown and self._answer_stream is None and time.monotonic_ns() >= self.stream_from:
             self._start_streaming(None)
         if self._answer_stream is not None:
             self._feed_stream(self._answer_stream)
@@ -253,7 +261,7 @@
 
     def _finish(self, answer: Answer | None, keep: bool) -> None:
         """End the exchange: the answer is complete, or no more of it will arrive."""
-        if not (keep and self.whole) and self._transport is not None:
+        if not (keep and self.request_sent) and self._transport is not None:
             self._end_sending()
             self._transport.abort()
         self._detach_upload()
@@ -284,7 +292,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._head_size += len(name) + len(value)
-        if self._head_size > HEAD_MOST:
+        if self._head_size > MAX_HEAD_SIZE:
             raise ValueError("the head is too long")
         if not self._head_received:  # else it is a trailer
             self._headers.append((name.lower(), value.rstrip(HEADER_WHITESPACE)))
@@ -298,19 +306,19 @@
         self._head_time_ns = time.monotonic_ns()
         self._length_unknown = length is None and self._status not in STATUSES_WITHOUT_BODY
         self._until_close = self._length_unknown and b"transfer-encoding" not in headers
-        if length is not None and int(length) > WHOLE_MOST:
+        if length is not None and int(length) > MAX_BUFFERED_BODY_SIZE:
             self._start_streaming(int(length))
 
     def on_body(self, body: bytes) -> None:
         self._body += body
         self._body_size += len(body)
-        if self._answer_stream is None and self._body_size > self.body_most:
+        if self._answer_stream is None and self._body_size > self.max_body_size:
             self._start_streaming(None)
 
     def _start_streaming(self, length: int | None) -> None:
-        if not self.streams or self._status != 200:
-            declared_too_long = not self.streams and length is not None and length > self.body_most
-            if declared_too_long or self._body_size > self.body_most:
+        if not self.may_stream or self._status != 200:
+            declared_too_long = not self.may_stream and length is not None and length > self.max_body_size
+            if declared_too_long or self._body_size > self.max_body_size:
                 raise ValueError("answer too long")
             return
         self._answer_stream = Stream(self._pause_answer, length, self.close)
--- a/sprucenotch/node/discovery.py
+++ b/sprucenotch/node/discovery.py
@@ -260,7 +260,7 @@
                 if connection is not None:
                     connection.close()
                 connection = await self._connect(address)
-            connection.body_most = MAX_LIST_BYTES
+            connection.max_body_size = MAX_LIST_BYTES
             async with asyncio.timeout(timeout):
                 answer = await connection.ask(request)
         except BaseException as problem:
--- a/sprucenotch/node/exchange.py
+++ b/sprucenotch/node/exchange.py
@@ -38,7 +38,7 @@
 
     def serve(self, answer: Answer) -> None:
         forwarded = [h for h in answer.headers if h[0] not in UNFORWARDED_ANSWER_HEADERS]
-        self.put(Answer(200, forwarded, answer.body, answer.rest))
+        self.put(Answer(200, forwarded, answer.body, answer.body_stream))
 
     def refuse(self, retry_after: int) -> None:
         headers = [(b"Retry-After", b"%.3f" % (retry_after / SECOND))] if retry_after else []
@@ -50,7 +50,7 @@
     def framing(self, answer: Answer, close: bool) -> list[bytes]:
         """The header lines that tell the client where the answer and the connection end."""
         lines = []
-        if answer.rest is not None and answer.rest.length is None and not self.http10:
+        if answer.body_stream is not None and answer.body_stream.length is None and not self.http10:
             lines.append(b"Transfer-Encoding: chunked")
         if close:
             lines.append(CONNECTION_CLOSE)
--- a/sprucenotch/node/frontend.py
+++ b/sprucenotch/node/frontend.py
@@ -15,21 +15,21 @@
 import httptools
 
 from sprucenotch.node.config import Config
-from sprucenotch.node.connection import HEAD_MOST, HEADER_WHITESPACE, Answer
+from sprucenotch.node.connection import HEADER_WHITESPACE, MAX_HEAD_SIZE, Answer
 from sprucenotch.node.exchange import Exchange
 from sprucenotch.node.head import UNFORWARDED_REQUEST_HEADERS, BadRequest, HeadRules, head
 from sprucenotch.node.host import Host
 from sprucenotch.node.ledger import Incoming
-from sprucenotch.node.patience import Patience
+from sprucenotch.node.request_time_limit import RequestTimeLimit
 from sprucenotch.node.rules import FORCED_CLOSES, CloseReason
 from sprucenotch.node.stream import (
     ANSWER_RESERVATION,
     LAST_CHUNK,
     MAX_BODY_SIZE,
+    MAX_BUFFERED_BODY_SIZE,
     MAX_READ_SIZE,
     READ_BUFFER,
     STALL_TIMEOUT,
-    WHOLE_MOST,
     Stream,
     chunk,
 )
@@ -75,7 +75,7 @@
         # Active while the client does not read its answers, and while input is discarded after the last one.
         self._stall_timer: asyncio.TimerHandle | None = None
         self._disconnect_timer: asyncio.TimerHandle | None = None  # while reading is paused
-        self._request_timeout = Patience()
+        self._request_timeout = RequestTimeLimit()
         self._rules = frontend.rules  # with which the last head was checked
         self._reset_request()
 
@@ -184,8 +184,8 @@
         if exchange.answer is None:
             self.frontend.host.gone(exchange.id)
             return
-        if exchange.answer.rest is not None:
-            exchange.answer.rest.drop()
+        if exchange.answer.body_stream is not None:
+            exchange.answer.body_stream.drop()
         self.frontend.host.finish_request(exchange.id)
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -209,7 +209,7 @@
     # ---- waiting for the client
 
     def _await_request(self) -> None:
-        self._request_timeout = Patience()
+        self._request_timeout = RequestTimeLimit()
         self._request_timer = self.frontend.loop.call_later(
             REQUEST_CHECK_INTERVAL, self._check_request_timeout
         )
@@ -226,7 +226,7 @@
         )
         if self._reading_paused or self._unread():  # the sidecar is the one that is late, not the peer
             return
-        if not self._request_timeout.over(REQUEST_CHECK_INTERVAL, self._headed, self._body_size):
+        if not self._request_timeout.advance(REQUEST_CHECK_INTERVAL, self._headed, self._body_size):
             return
         self._cancel_request_timer()
         if self._reading:
@@ -298,7 +298,9 @@
             if (answer := exchange.answer) is None:
                 break
             self._writing = exchange
-            until_close = exchange.http10 and answer.rest is not None and answer.rest.length is None
+            until_close = (
+                exchange.http10 and answer.body_stream is not None and answer.body_stream.length is None
+            )
             exchange.closes_connection |= until_close or (
                 self.frontend.draining and self._nothing_after(exchange)
             )
@@ -314,13 +316,13 @@
 
     def _write(self, exchange: Exchange, answer: Answer) -> None:
         assert self._transport is not None
-        length = len(answer.body) if answer.rest is None else answer.rest.length
+        length = len(answer.body) if answer.body_stream is None else answer.body_stream.length
         lines = exchange.framing(answer, exchange.closes_connection)
         self._transport.write(head(answer.status, answer.headers, length, *lines) + answer.body)
-        self._answer_written = answer.rest is None
-        if answer.rest is not None:
+        self._answer_written = answer.body_stream is None
+        if answer.body_stream is not None:
             self._chunked = length is None and not exchange.http10
-            answer.rest.attach(self)
+            answer.body_stream.attach(self)
         elif not self._write_blocked:
             self._answer_sent()
 
@@ -328,8 +330,8 @@
         if self._transport is None or self._writing is None or self._writing.answer is None:
             return
         self._transport.write(chunk(piece) if self._chunked else piece)
-        if self._write_blocked and self._writing.answer.rest is not None:
-            self._writing.answer.rest.set_paused(True)
+        if self._write_blocked and self._writing.answer.body_stream is not None:
+            self._writing.answer.body_stream.set_paused(True)
 
     def body_end(self, whole: bool) -> None:
         if self._transport is None or self._writing is None:
@@ -386,8 +388,8 @@
         if self._writing is not None:
             if self._answer_written:
                 self._answer_sent()
-            elif self._writing.answer is not None and self._writing.answer.rest is not None:
-                self._writing.answer.rest.set_paused(False)
+            elif self._writing.answer is not None and self._writing.answer.body_stream is not None:
+                self._writing.answer.body_stream.set_paused(False)
         self.flush()
 
     def shut(self, reason: CloseReason, abort: bool = False) -> None:
@@ -482,8 +484,10 @@
         except BadRequest as error:
             self._answer_error(exchange, error)
             return
-        long = length is not None and length > WHOLE_MOST
-        body_size = MAX_READ_SIZE if long else WHOLE_MOST + MAX_READ_SIZE if length is None else length
+        long = length is not None and length > MAX_BUFFERED_BODY_SIZE
+        body_size = (
+            MAX_READ_SIZE if long else MAX_BUFFERED_BODY_SIZE + MAX_READ_SIZE if length is None else length
+        )
         if not self.frontend.host.budget.reserve(body_size + ANSWER_RESERVATION):
             self.frontend.host.count_memory_refusal(self._incoming)
             exchange.refuse(0)
@@ -535,7 +539,11 @@
         if exchange.answer is not None:
             return
         self._body += body
-        if exchange.upload is None and self._body_size > WHOLE_MOST and self._incoming is not None:
+        if (
+            exchange.upload is None
+            and self._body_size > MAX_BUFFERED_BODY_SIZE
+            and self._incoming is not None
+        ):
             try:
                 self._incoming = self._recheck_head()
             except BadRequest as error:
@@ -544,7 +552,7 @@
 
     def _add_head_size(self, size: int, status: int) -> None:
         self._head_size += size
-        if self._head_size > HEAD_MOST:
+        if self._head_size > MAX_HEAD_SIZE:
             self._fail_parsing(status, HTTPStatus(status).phrase)
 
     def _fail_parsing(self, status: int, why: str) -> NoReturn:
@@ -632,7 +640,7 @@
     def _closable(self, open_connections: list[ClientConnection]) -> Iterator[ClientConnection]:
         """Connections that may be closed, best first. A used one loses nothing: a request that crosses its
         close is sent again by the client. Idle ones follow. One whose first request has arrived in part
-        is never closed for this; `Patience` ends the wait for a request that stays incomplete."""
+        is never closed for this; `RequestTimeLimit` ends the wait for a request that stays incomplete."""
         done = (c for c in open_connections if c.left)
         idle = (c for c in open_connections if c.idle and not c.has_unread_request)
         return itertools.chain(done, idle)
--- a/sprucenotch/node/host.py
+++ b/sprucenotch/node/host.py
@@ -20,7 +20,7 @@
 from sprucenotch.node.attempt import Attempt
 from sprucenotch.node.config import SECOND, Config, HostList
 from sprucenotch.node.connection import Answer
-from sprucenotch.node.ledger import Client, Incoming, Open
+from sprucenotch.node.ledger import Client, Incoming, OpenRequest
 from sprucenotch.node.log import AccessLog
 from sprucenotch.node.log import event as tell
 from sprucenotch.node.pool import Pool
@@ -61,7 +61,7 @@
         self.upstream = Upstream(config, loop, clock.now, self.count)
         self.standing = Standing(self._balancer, self.telemetry, self.upstream, clock.now)
         self._access = AccessLog(config.log.access_per_s)
-        self._open: dict[int, Open] = {}
+        self._open: dict[int, OpenRequest] = {}
         self._last_id = 0
         self._events: deque[api.Event] = deque()
         self._handling = False
@@ -118,8 +118,8 @@
 
     def _expiry(self, now: int, deadline: int) -> int:
         """Return when a request that is complete now has to be answered."""
-        expires = now + deadline - DEADLINE_MARGIN if deadline > DEADLINE_MARGIN else now
-        return expires if self._drain_deadline is None else min(expires, self._drain_deadline)
+        expires_at = now + deadline - DEADLINE_MARGIN if deadline > DEADLINE_MARGIN else now
+        return expires_at if self._drain_deadline is None else min(expires_at, self._drain_deadline)
 
     def learn(self, told: HostList, kind: int) -> None:
         """Apply a host list of that `api.ListKind`."""
@@ -203,10 +203,10 @@
         self.count("requests")
         self._last_id += 1
         rid, now = self._last_id, self.now()
-        expires = self._expiry(now, incoming.deadline)
+        expires_at = self._expiry(now, incoming.deadline)
         cls = self._settings.classes[self._class_numbers[incoming.cls]]
-        request = self._open[rid] = Open(
-            rid, client, incoming, expires, self._settings.max_attempts, reservation, upload, cls.effect,
+        request = self._open[rid] = OpenRequest(
+            rid, client, incoming, expires_at, self._settings.max_attempts, reservation, upload, cls.effect,
             self._first_byte_sent,
         )  # fmt: skip
         client.id = rid
@@ -218,20 +218,20 @@
                 self._class_numbers[incoming.cls],
                 incoming.tenant,
                 incoming.key,
-                expires,
+                expires_at,
                 incoming.hint,
                 incoming.repeat,
                 request.uploading,
             )
         )
 
-    def _request_received(self, request: Open) -> None:
+    def _request_received(self, request: OpenRequest) -> None:
         """Note that the last byte of a request has arrived, and start its deadline timer."""
         request.received, request.received_at = True, self.now()
         self.telemetry.in_progress += 1
         if log.isEnabledFor(logging.DEBUG):
             tell(log, logging.DEBUG, "taken", request=request.id, req_id=request.req_id)
-        seconds_left = (request.expires - request.received_at) / SECOND
+        seconds_left = (request.expires_at - request.received_at) / SECOND
         request.deadline_timer = self._loop.call_later(seconds_left, self._at_deadline, request)
 
     def uploaded(self, rid: int) -> None:
@@ -240,17 +240,18 @@
         if request is None or request.answered:
             return
         now, request.uploading = self.now(), False
-        request.sent_at, request.expires = now, self._expiry(now, request.incoming.deadline)
-        request.attempt_deadline = request.expires
+        request.sent_at, request.expires_at = now, self._expiry(now, request.incoming.deadline)
+        request.attempt_deadline = request.expires_at
         self._request_received(request)
         if request.attempt is not None:
             self._set_attempt_timeout(request, request.attempt)
-        self.post(api.Uploaded(rid, request.expires))
+        self.post(api.Uploaded(rid, request.expires_at))
 
     def gone(self, rid: int) -> None:
         """Handle a client that left. An attempt whose request has been sent completely goes on: ending it
         would only cost a connection. One that waits for a connection ends once that is up, so that others
-        can use it (`Open.wanted`); one that is partly sent ends at once, so that the server never runs it."""
+        can use it (`OpenRequest.may_send`); one that is partly sent ends at once, so that the server never
+        runs it."""
         if (request := self._mark_answered(rid)) is not None:
             self.finish_request(rid)
             self.post(api.Gone(rid))
@@ -283,7 +284,7 @@
             self._log_access(request, now, outcome_counts)
         self._release(request)
 
-    def _log_access(self, request: Open, now: int, outcome_counts: Counter[str] | None) -> None:
+    def _log_access(self, request: OpenRequest, now: int, outcome_counts: Counter[str] | None) -> None:
         telemetry = self.telemetry
         outcomes = (
             (telemetry.passed, "served"),
@@ -306,10 +307,10 @@
         self.count("no_room")
         self.telemetry.dropped[incoming.cls] += 1
 
-    def _at_deadline(self, request: Open) -> None:
+    def _at_deadline(self, request: OpenRequest) -> None:
         request.deadline_timer = None
         # Timers have millisecond resolution, so this may be 1 ms early; the balancer must see it as expired.
-        request.expires = min(request.expires, self.now())
+        request.expires_at = min(request.expires_at, self.now())
         if request.attempt is not None:
             request.attempt.abandon(Outcome.TIMEOUT)
         if not request.answered:
@@ -318,7 +319,7 @@
             self._fail(api.Fail(request.id, api.Reason.EXPIRED))
             self.post(api.Gone(request.id))
 
-    def _release(self, request: Open) -> None:
+    def _release(self, request: OpenRequest) -> None:
         """Release memory that is no longer needed; drop a request that has finished and has no attempt."""
         active = not request.answered or request.attempt is not None
         reserved = (request.reservation if active else 0) + request.outgoing_size
@@ -332,7 +333,7 @@
         if request.finished:
             self._open.pop(request.id, None)
 
-    def _mark_answered(self, rid: int) -> Open | None:
+    def _mark_answered(self, rid: int) -> OpenRequest | None:
         """Mark a request as answered and return it; None if it already was. The caller sends the answer."""
         request = self._open.get(rid)
         if request is None or request.answered:
@@ -354,21 +355,21 @@
         body_forwarded = (
             request.upload is not None and request.upload.started
         )  # what was forwarded is not buffered any more
-        expired = not request.uploading and now >= request.expires
-        if body_forwarded or expired or not self.rules.may_repeat(request, action.before):
+        expired = not request.uploading and now >= request.expires_at
+        if body_forwarded or expired or not self.rules.may_repeat(request, action.send_before):
             self._complete_as_moot(action, request)
             return
         if request.attempts:
             self._record_retry(request, action)
         number, request.attempts = request.attempts, request.attempts + 1
-        request.sent_at, request.endpoint, request.attempt_deadline = now, action.endpoint, request.expires
-        request.retry_before = action.before
+        request.sent_at, request.endpoint, request.attempt_deadline = now, action.endpoint, request.expires_at
+        request.retry_before = action.send_before
         if self.standing.is_cold(action.endpoint):
             self.count("cold_sends")
         done = partial(self._completed, request, number)
         attempt = self.upstream.attempt(
             action.endpoint,
-            partial(request.payload, self.now),
+            partial(request.request_bytes, self.now),
             done,
             partial(self._last_byte_sent, request),
             request,
@@ -382,7 +383,7 @@
             self._set_attempt_timeout(request, attempt)
         attempt.start()
 
-    def _record_retry(self, request: Open, action: api.Send) -> None:
+    def _record_retry(self, request: OpenRequest, action: api.Send) -> None:
         self.telemetry.retries[request.last_outcome] += 1
         if log.isEnabledFor(logging.DEBUG):
             tell(
@@ -391,22 +392,22 @@
                 server=self.upstream.name(action.endpoint),
             )  # fmt: skip
 
-    def _first_byte_sent(self, request: Open, pool: Pool) -> None:
+    def _first_byte_sent(self, request: OpenRequest, pool: Pool) -> None:
         """Check the rules once the first byte of an attempt has been sent."""
         self.rules.sent(request, pool, self.now())
 
-    def _set_attempt_timeout(self, request: Open, attempt: Attempt) -> None:
+    def _set_attempt_timeout(self, request: OpenRequest, attempt: Attempt) -> None:
         """Limit the attempt to the timeout that was decided, and set from when its answer is streamed."""
-        if request.timeout and request.sent_at + request.timeout < request.expires:
+        if request.timeout and request.sent_at + request.timeout < request.expires_at:
             request.attempt_deadline = request.sent_at + request.timeout
             request.attempt_timer = self._loop.call_later(
                 request.timeout / SECOND, attempt.abandon, Outcome.TIMEOUT
             )
-        attempt.hasten(
+        attempt.set_stream_from(
             time.monotonic_ns() + int((request.attempt_deadline - request.sent_at) * MAX_BUFFERING_SHARE)
         )
 
-    def _last_byte_sent(self, request: Open) -> None:
+    def _last_byte_sent(self, request: OpenRequest) -> None:
         """Count an attempt whose last byte has been sent."""
         self.telemetry.upstream_tries += 1
         if log.isEnabledFor(logging.DEBUG):
@@ -415,12 +416,12 @@
                 attempt=request.attempts, server=self.upstream.name(request.endpoint),
             )  # fmt: skip
 
-    def _complete_as_moot(self, action: api.Send, request: Open | None) -> None:
+    def _complete_as_moot(self, action: api.Send, request: OpenRequest | None) -> None:
         answered = request is None or request.answered
         number = request.attempts if request else 0
         self.post(api.Completed(action.id, number, action.endpoint, Outcome.MOOT, 0, answered, ()))
 
-    def _completed(self, request: Open, number: int, outcome: int, answer: Answer | None) -> None:
+    def _completed(self, request: OpenRequest, number: int, outcome: int, answer: Answer | None) -> None:
         request.attempt, request.last_outcome = None, outcome
         request.may_have_run = request.may_have_run or may_have_run(outcome)
         self.count(OUTCOMES[outcome])
@@ -429,20 +430,20 @@
             request.attempt_timer = None
         if outcome == Outcome.OK and answer is not None and self._mark_answered(request.id) is not None:
             request.outcome_counts = self.telemetry.passed
-            request.outgoing_size = len(answer.body) if answer.rest is None else MAX_READ_SIZE
+            request.outgoing_size = len(answer.body) if answer.body_stream is None else MAX_READ_SIZE
             if log.isEnabledFor(logging.DEBUG):
-                size = None if answer.rest is None else answer.rest.length
+                size = None if answer.body_stream is None else answer.body_stream.length
                 tell(
                     log, logging.DEBUG, "answer begins", request=request.id, req_id=request.req_id,
-                    long=answer.rest is not None, size=size,
+                    long=answer.body_stream is not None, size=size,
                 )  # fmt: skip
             request.client.serve(answer)
-        elif answer is not None and answer.rest is not None:
-            answer.rest.drop()  # the client has left in the meantime
+        elif answer is not None and answer.body_stream is not None:
+            answer.body_stream.drop()  # the client has left in the meantime
         answered = request.answered
         self._release(request)
         took, report = self.now() - request.sent_at, self.upstream.report(answer)
-        if answer is not None and answer.rest is not None:
+        if answer is not None and answer.body_stream is not None:
             # For a streamed answer, count only the time to its head, not the time it was buffered here.
             took -= time.monotonic_ns() - answer.head_time_ns
         self.telemetry.attempt_ended(request.endpoint, outcome, took)
@@ -453,7 +454,7 @@
             request.outcome_counts = self.telemetry.dropped
             self._record_refusal(request, action.why)
             self.count("refused_late" if request.attempts else "refused_unsent")
-            request.client.refuse(action.stay_away)
+            request.client.refuse(action.retry_after)
             self._release(request)
 
     def _fail(self, action: api.Fail) -> None:
@@ -463,7 +464,7 @@
             request.client.fail(request.last_outcome == Outcome.TIMEOUT)
             self._release(request)
 
-    def _record_refusal(self, request: Open, why: api.Reason) -> None:
+    def _record_refusal(self, request: OpenRequest, why: api.Reason) -> None:
         """Count and log a request that is refused or failed here."""
         self.telemetry.refusals[why] += 1
         if log.isEnabledFor(logging.DEBUG):
--- a/sprucenotch/node/ledger.py
+++ b/sprucenotch/node/ledger.py
@@ -44,12 +44,12 @@
     body: bytes  # empty if it is streamed
 
 
-class Open:
+class OpenRequest:
     """A request in the ledger: its answer is not fully sent yet, or an attempt is still under way."""
 
     __slots__ = (
         "_on_sent", "answered", "attempt", "attempt_deadline", "attempt_timer", "attempts", "client",
-        "deadline_timer", "effect", "endpoint", "expires", "finished", "id", "incoming", "last_outcome",
+        "deadline_timer", "effect", "endpoint", "expires_at", "finished", "id", "incoming", "last_outcome",
         "max_attempts", "may_have_run", "outcome_counts", "outgoing_size", "received", "received_at",
         "reservation", "reserved", "retry_before", "sent_at", "sent_deadline", "timeout", "upload",
         "uploading",
@@ -60,18 +60,18 @@
         rid: int,
         client: Client,
         incoming: Incoming,
-        expires: int,
+        expires_at: int,
         max_attempts: int,
         reservation: int,
         upload: Stream | None,
         effect: int,
-        on_sent: Callable[[Open, Pool], None],
+        on_sent: Callable[[OpenRequest, Pool], None],
     ) -> None:
         self.effect = effect  # of its class when it arrived
         self._on_sent = on_sent
         self.may_have_run = False
         self.sent_deadline = 0  # nanoseconds, as sent to the server with the last attempt
-        self.id, self.client, self.incoming, self.expires = rid, client, incoming, expires
+        self.id, self.client, self.incoming, self.expires_at = rid, client, incoming, expires_at
         self.reservation = self.reserved = reservation  # bytes: reserved at first, and still reserved now
         self.upload = upload
         self.max_attempts = max_attempts  # by the settings in force when it arrived
@@ -88,7 +88,7 @@
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.attempt_timer: asyncio.TimerHandle | None = None
 
-    def sent(self, pool: Pool) -> None:
+    def on_first_byte_sent(self, pool: Pool) -> None:
         """Report that the first byte of an attempt has been sent to that server."""
         self._on_sent(self, pool)
 
@@ -97,14 +97,14 @@
         """The Req-Id header that the client sent."""
         return self.incoming.req_id.decode("latin-1")
 
-    def wanted(self, now: int) -> bool:
+    def may_send(self, now: int) -> bool:
         """Whether an attempt may be sent now: the deadline is not over, a repeat is still harmless, and the
         client is still connected. The socket is checked, as the loop may not have seen the client's end."""
-        if self.answered or (now >= self.expires and not self.uploading):
+        if self.answered or (now >= self.expires_at and not self.uploading):
             return False
         return (not self.retry_before or now < self.retry_before) and self.client.connected()
 
-    def payload(self, now: Callable[[], int]) -> bytes:
+    def request_bytes(self, now: Callable[[], int]) -> bytes:
         """Build the bytes of an attempt: the head with the time left, and a buffered body."""
         time_left = self.incoming.deadline if self.uploading else max(0, self.attempt_deadline - now())
         self.sent_deadline = time_left
--- a/sprucenotch/node/metrics.py
+++ b/sprucenotch/node/metrics.py
@@ -94,7 +94,7 @@
     yield from _gauge("in_progress", "Requests accepted and not completed.", telemetry.in_progress)
     yield from _gauge("connections", "Connections to engines.", standing.upstream.connections)
     yield from _gauge("body_memory_bytes", "Memory reserved for bodies.", budget.used)
-    yield from _gauge("body_memory_limit_bytes", "Limit of the memory reserved for bodies.", budget.most)
+    yield from _gauge("body_memory_limit_bytes", "Limit of the memory reserved for bodies.", budget.max_bytes)
     yield from _gauge("loop_lag_seconds", "Delay of the last status timer.", standing.lag)
     yield from _gauge("resident_memory_bytes", "Resident memory.", process["memory_bytes"])
     if (descriptors := open_descriptors()) is not None:
--- a/sprucenotch/node/patience.py
+++ b/sprucenotch/node/request_time_limit.py
@@ -11,7 +11,7 @@
 MIN_BODY_RATE, BODY_RATE_LAG = 48_000, 1.0  # bytes a second, counted from so long after the head
 
 
-class Patience:
+class RequestTimeLimit:
     """The time limits of one request."""
 
     __slots__ = ("_elapsed", "_head_time", "_idle")
@@ -24,7 +24,7 @@
         """Note that input has arrived."""
         self._idle = 0.0
 
-    def over(self, passed: float, headed: bool, size: int) -> bool:
+    def advance(self, passed: float, headed: bool, size: int) -> bool:
         """Add elapsed seconds, and return whether the wait is over, for a body of `size` bytes so far."""
         self._elapsed += passed
         self._idle += passed
--- a/sprucenotch/node/rules.py
+++ b/sprucenotch/node/rules.py
@@ -16,7 +16,7 @@
 from sprucenotch.node.log import event
 
 if TYPE_CHECKING:
-    from sprucenotch.node.ledger import Open
+    from sprucenotch.node.ledger import OpenRequest
     from sprucenotch.node.pool import Pool
     from sprucenotch.node.telemetry import Telemetry
 
@@ -24,7 +24,7 @@
 
 # Nanoseconds by which a deadline or a repeat window may be exceeded before it counts as a violation: the
 # process may be delayed for that long between reading the clock and writing.
-HOLD_UP = 150_000_000
+MAX_SEND_DELAY_NS = 150_000_000
 
 
 class Rule(StrEnum):
@@ -72,32 +72,34 @@
         self._telemetry.violations[rule] += 1
         event(log, logging.ERROR, "rule broken", rule=rule.value, **ids)
 
-    def may_repeat(self, request: Open, before: int) -> bool:
+    def may_repeat(self, request: OpenRequest, send_before: int) -> bool:
         """Whether another attempt of a request is allowed; reports a violation if it is not."""
         effect = request.effect
         if request.attempts >= request.max_attempts:
             rule = Rule.REPEATED_TOO_OFTEN
-        elif request.may_have_run and (effect == Effect.UNSAFE or (effect == Effect.KEYED and not before)):
+        elif request.may_have_run and (
+            effect == Effect.UNSAFE or (effect == Effect.KEYED and not send_before)
+        ):
             rule = Rule.REPEATED_HARMFUL
         else:
             return True
         self.broken(rule, request=request.id, req_id=request.req_id, attempts=request.attempts)
         return False
 
-    def sent(self, request: Open, pool: Pool, now: int) -> None:
+    def sent(self, request: OpenRequest, pool: Pool, now: int) -> None:
         """Check an attempt whose first byte has just been sent."""
         if pool.health != Health.READY:
             self._report_send_violation(Rule.SENT_WITHDRAWN, request, pool)
-        if request.retry_before and now >= request.retry_before + HOLD_UP:
+        if request.retry_before and now >= request.retry_before + MAX_SEND_DELAY_NS:
             self._report_send_violation(Rule.REPEATED_LATE, request, pool)
         if request.uploading:
             return
-        if now >= request.expires + HOLD_UP:
+        if now >= request.expires_at + MAX_SEND_DELAY_NS:
             self._report_send_violation(Rule.SENT_OVERDUE, request, pool)
-        if now + request.sent_deadline > request.expires + HOLD_UP:
+        if now + request.sent_deadline > request.expires_at + MAX_SEND_DELAY_NS:
             self._report_send_violation(Rule.SENT_DEADLINE, request, pool)
 
-    def _report_send_violation(self, rule: Rule, request: Open, pool: Pool) -> None:
+    def _report_send_violation(self, rule: Rule, request: OpenRequest, pool: Pool) -> None:
         told_ms = request.sent_deadline // 1_000_000
         self.broken(
             rule, request=request.id, req_id=request.req_id, attempt=request.attempts, server=pool.name,
--- a/sprucenotch/node/stream.py
+++ b/sprucenotch/node/stream.py
@@ -5,11 +5,13 @@
 from collections.abc import Callable
 from typing import Protocol
 
-WHOLE_MOST = 64 * 1024  # bytes; a body up to this size is buffered, so that its request can be retried
+MAX_BUFFERED_BODY_SIZE = (
+    64 * 1024
+)  # bytes; a body up to this size is buffered, so that its request can be retried
 MAX_READ_SIZE = 32 * 1024  # bytes per read, and so the most that a transfer buffers
 MAX_BODY_SIZE = 32 * 1024 * 1024  # bytes
 # Bytes that an answer may take before it is streamed: a buffered body and the read that exceeds it.
-ANSWER_RESERVATION = WHOLE_MOST + MAX_READ_SIZE
+ANSWER_RESERVATION = MAX_BUFFERED_BODY_SIZE + MAX_READ_SIZE
 STALL_TIMEOUT = 10.0  # seconds without progress; well-behaved peers pause for a few seconds at most
 
 # All sockets share one read buffer: input is parsed, and copied if it is kept, within the read callback.
@@ -21,11 +23,11 @@
     memory while it holds some: without memory a request is refused."""
 
     def __init__(self, most: int) -> None:
-        self.most, self.used = most, 0
+        self.max_bytes, self.used = most, 0
 
     def reserve(self, size: int) -> bool:
         """Reserve so many bytes; False if they would exceed the limit."""
-        if self.used + size > self.most:
+        if self.used + size > self.max_bytes:
             return False
         self.used += size
         return True
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -114,7 +114,7 @@
     ) -> Attempt | None:
         """Create an attempt without starting it; None if the endpoint is not ready.
 
-        `purpose.wanted` is checked immediately before the first byte is sent.
+        `purpose.may_send` is checked immediately before the first byte is sent.
         """
         pool = self._pools.get(endpoint)
         if pool is None or pool.health != Health.READY:
@@ -127,8 +127,8 @@
         def ended(outcome: int, answer: Answer | None) -> None:
             timer.cancel()
             self._probes.discard(attempt)
-            if answer is not None and answer.rest is not None:
-                answer.rest.drop()
+            if answer is not None and answer.body_stream is not None:
+                answer.body_stream.drop()
             if answer is not None and answer.status == 503:
                 outcome = Outcome.FULL
             done(outcome, self.now() - started_at, self.report(answer, body=True))
@@ -237,7 +237,7 @@
                 pool.idle.remove(connection)
 
         connection = Connection(on_lost)
-        connection.streams = connection.counted = True
+        connection.may_stream = connection.counted = True
         connection.dial = pool.dial
 
         async def open_connection() -> None:
--- a/sprucenotch/policy/balance.py
+++ b/sprucenotch/policy/balance.py
@@ -186,7 +186,7 @@
         """
         if self.engines.subset_stale:
             self.engines.choose_subset(now)
-        if request.probe_rounds >= MAX_PROBE_ROUNDS or request.expires - now < MAX_STALL:
+        if request.probe_rounds >= MAX_PROBE_ROUNDS or request.expires_at - now < MAX_STALL:
             return False
         cross = self.may_cross(request.cls) and (
             request.probe_rounds > 0 or self.rand() < self.crossing_share
@@ -243,7 +243,7 @@
 
     def send_or_probe_again(self, request: PendingRequest, now: int) -> None:
         """Send a request for which members were probed, or start another round of probes."""
-        if now >= request.expires:
+        if now >= request.expires_at:
             self.finish_without_answer(request, now, Reason.EXPIRED)
         elif request.fastest is not None and request.fastest.health == Health.READY:
             self.launch(request, request.fastest, now)
@@ -453,7 +453,7 @@
         self.pending[event.id] = request
         if not passes:
             self.finish_without_answer(request, now, Reason.ADMISSION)
-        elif event.expires <= now:
+        elif event.expires_at <= now:
             self.finish_without_answer(request, now, Reason.EXPIRED)
         elif self.is_useless_repeat(event, request.class_state, now):
             self.finish_without_answer(request, now, Reason.USELESS)
@@ -465,12 +465,12 @@
     def on_uploaded(self, now: int, event: api.Uploaded) -> None:
         """The body of a long request is complete: its deadline and its wait there count from now."""
         if (request := self.pending.get(event.id)) is not None:
-            request.uploading, request.expires = False, event.expires
+            request.uploading, request.expires_at = False, event.expires_at
             request.arrived_at = request.sent_at = now
 
     def is_useless_repeat(self, event: api.Request, class_state: ClassState, now: int) -> bool:
         """Whether this repeat comes too late, by the time until its deadline, for an answer to count."""
-        cls, time_left = class_state.cls, event.expires - now
+        cls, time_left = class_state.cls, event.expires_at - now
         if not event.repeat:
             class_state.longest_try = max(class_state.longest_try, time_left)
             return False
@@ -508,7 +508,7 @@
         time_to_aim = request.arrived_at + cls.aim - now
         # Members that answered a probe but are late have a queue of requests held beyond the aim.
         limit_to_aim = not cls.late_worth or (self.probing and self.pressure > self.overload_threshold / 2)
-        if limit_to_aim and 0 < time_to_aim < request.expires - now:
+        if limit_to_aim and 0 < time_to_aim < request.expires_at - now:
             return time_to_aim
         return 0
 
--- a/sprucenotch/policy/retries.py
+++ b/sprucenotch/policy/retries.py
@@ -17,7 +17,7 @@
         return Reason.CALLED_OFF
     if request.attempts >= request.max_attempts:
         return Reason.ATTEMPTS
-    if now >= request.expires:
+    if now >= request.expires_at:
         return Reason.EXPIRED
     if outcome == Outcome.LOCAL_FAILURE:  # no server did any work
         return None
@@ -29,5 +29,5 @@
         return Reason.MAY_HAVE_RUN
     if outcome != Outcome.CONNECT_FAILED and overload:
         return Reason.OVERLOAD
-    useful = request.expires if cls.late_worth else min(request.arrived_at + cls.aim, request.expires)
+    useful = request.expires_at if cls.late_worth else min(request.arrived_at + cls.aim, request.expires_at)
     return None if now + request.class_state.base < useful else Reason.EXPIRED
--- a/sprucenotch/policy/state.py
+++ b/sprucenotch/policy/state.py
@@ -68,7 +68,7 @@
     """A request without a final answer yet."""
 
     def __init__(self, event: api.Request, class_state: ClassState, max_attempts: int, now: int) -> None:
-        self.id, self.expires, self.arrived_at = event.id, event.expires, now
+        self.id, self.expires_at, self.arrived_at = event.id, event.expires_at, now
         # As of its arrival: later settings do not apply to it.
         self.class_state, self.cls, self.max_attempts = class_state, class_state.cls, max_attempts
         self.key, self.uploading = event.key, event.uploading
--- a/sprucenotch/recovery/predecessor.py
+++ b/sprucenotch/recovery/predecessor.py
@@ -113,7 +113,7 @@
 
 async def _call(address: Address) -> Answer | None:
     connection = Connection()
-    connection.body_most = MAX_BODY_BYTES
+    connection.max_body_size = MAX_BODY_BYTES
     await retried(lambda: connect(connection, address), CALL_TIMEOUT)
     try:
         return await connection.ask(
--- a/sprucenotch/sim/wire.py
+++ b/sprucenotch/sim/wire.py
@@ -100,9 +100,9 @@
         return at + 13, instance, api.EndpointList(LIST_KINDS[kind], entries)
 
     def _inbound(self, b: bytes, at: int) -> Any:
-        instance, rid, cls, tenant, key, expires, hint, marks = _INBOUND.unpack_from(b, at)
+        instance, rid, cls, tenant, key, expires_at, hint, marks = _INBOUND.unpack_from(b, at)
         hint = hint if marks & 1 else 0
-        return at + 41, instance, api.Request(rid, cls, tenant, key, expires, hint, bool(marks & 2))
+        return at + 41, instance, api.Request(rid, cls, tenant, key, expires_at, hint, bool(marks & 2))
 
     def _memo(self, b: bytes, at: int) -> Any:
         instance, sender, n = _MEMO.unpack_from(b, at)
@@ -176,7 +176,7 @@
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
     api.Send: lambda i, a: _A_DELIVER.pack(16, i, a.id, a.endpoint, a.timeout),
-    api.Refuse: lambda i, a: _A_DECLINE.pack(17, i, a.id, a.stay_away),
+    api.Refuse: lambda i, a: _A_DECLINE.pack(17, i, a.id, a.retry_after),
     api.Fail: lambda i, a: _A_ID.pack(18, i, a.id),
     api.Cancel: lambda i, a: _A_DROP.pack(19, i, a.id, a.attempt),
     api.SetTimer: lambda i, a: _A_DECLINE.pack(20, i, a.delay, a.token),
--- a/tests/planted_hunt.py
+++ b/tests/planted_hunt.py
@@ -13,7 +13,7 @@
 from typing import Any, TypeVar
 
 from sprucenotch.api import Effect, Reason
-from sprucenotch.node import acceptor, attempt, ledger, patience, serve, upstream
+from sprucenotch.node import acceptor, attempt, ledger, request_time_limit, serve, upstream
 from sprucenotch.node.frontend import ClientConnection
 from sprucenotch.node.host import Host
 from sprucenotch.node.pool import Pool
@@ -109,29 +109,31 @@
 
 
 def send_full_deadline() -> None:
-    def planted(self: ledger.Open, now: Callable[[], int]) -> bytes:
+    def planted(self: ledger.OpenRequest, now: Callable[[], int]) -> bytes:
         left = self.incoming.deadline
         return b"%sReq-Deadline: %.3f\r\n\r\n%s" % (self.incoming.head, left / SECOND, self.incoming.body)
 
-    ledger.Open.payload = planted  # type: ignore[method-assign]
+    ledger.OpenRequest.request_bytes = planted  # type: ignore[method-assign]
 
 
 def keep_stalled_clients() -> None:
-    patience.Patience.over = lambda self, passed, headed, size: False  # type: ignore[method-assign]
+    request_time_limit.RequestTimeLimit.advance = lambda self, passed, headed, size: False  # type: ignore[method-assign]
 
 
 def retry_after_window() -> None:
     def planted(request: Any, outcome: int, now: int, budget: float, overload: bool) -> Reason | None:
-        over = now >= request.expires or request.attempts >= request.max_attempts
+        over = now >= request.expires_at or request.attempts >= request.max_attempts
         return Reason.EXPIRED if over or request.cls.effect == Effect.UNSAFE else None
 
     vars(balance)["reason_against_retry"] = planted
-    ledger.Open.wanted = lambda self, now: not self.answered  # type: ignore[method-assign]
+    ledger.OpenRequest.may_send = lambda self, now: not self.answered  # type: ignore[method-assign]
 
 
 def repeats_what_may_have_run() -> None:
     def planted(request: Any, outcome: int, now: int, budget: float, overload: bool) -> Reason | None:
-        return Reason.EXPIRED if request.attempts >= request.max_attempts or now >= request.expires else None
+        return (
+            Reason.EXPIRED if request.attempts >= request.max_attempts or now >= request.expires_at else None
+        )
 
     vars(balance)["reason_against_retry"] = planted
     Host._send.__globals__["Rules"].may_repeat = lambda self, request, before: True
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -366,7 +366,7 @@
     return [a.endpoint for a in actions if isinstance(a, api.Probe)]
 
 
-def asking(left: int = 3 * SECOND, **changes: object) -> tuple[Bench, list[bytes]]:
+def probing_bench(left: int = 3 * SECOND, **changes: object) -> tuple[Bench, list[bytes]]:
     """Return a sidecar that has just received request 1, and the members that it probed."""
     b = Bench(settings(request_class(late_worth=0.5), **(PROBING | changes)), servers=0)
     b.give_list(*(endpoint(n, zone=n % 2) for n in range(1, 17)))
@@ -375,7 +375,7 @@
 
 def test_fastest_probed_member_gets_the_request() -> None:
     """With little traffic, own requests in flight do not show a busy server: it looks as idle as others."""
-    b, probed = asking()
+    b, probed = probing_bench()
     assert len(probed) == 2 and all(e[0] % 2 == 0 for e in probed)
     b.now += 5 * MS
     assert not any(isinstance(a, api.Send) for a in b.give(api.Probed(probed[0], api.Outcome.OK, 9 * MS, ())))
@@ -384,7 +384,7 @@
 
 
 def test_silent_members_get_nothing_and_others_are_probed() -> None:
-    b, probed = asking()
+    b, probed = probing_bench()
     b.now += 20 * MS
     more = probes(b.give(api.Timer(2)))
     assert more and not set(more) & set(probed)
@@ -396,13 +396,13 @@
 
 
 def test_probing_ends_with_send_or_final_answer() -> None:
-    b, _ = asking()
+    b, _ = probing_bench()
     for _ in range(8):
         b.now += 30 * MS
         if sends := [a for a in b.give(api.Timer(2)) if isinstance(a, api.Send)]:
             break
     assert sends and b.now - START <= 250 * MS
-    late, _ = asking()
+    late, _ = probing_bench()
     late.now += 4 * SECOND  # after a stall: the deadline has passed
     [final] = late.give(api.Timer(2))
     assert isinstance(final, api.Refuse)
@@ -410,12 +410,12 @@
 
 def test_request_with_little_time_is_not_held_for_probes() -> None:
     """During a stall of two seconds a sidecar had held two requests unsent past their deadlines."""
-    b, probed = asking(left=2 * SECOND)
+    b, probed = probing_bench(left=2 * SECOND)
     assert not probed and isinstance(b.actions[0], api.Send)
 
 
 def test_member_draining_during_probe_gets_nothing() -> None:
-    b, probed = asking()
+    b, probed = probing_bench()
     b.give(api.EndpointList(api.ListKind.DELTA, tuple(
         endpoint(e[0], api.Health.DRAINING, zone=e[0] % 2) for e in probed
     )))  # fmt: skip
@@ -426,12 +426,12 @@
 
 def test_no_probes_with_peers_or_without_permission() -> None:
     for changes in ({"peers": True}, {"probes": False}):
-        assert asking(**changes)[1] == []
+        assert probing_bench(**changes)[1] == []
 
 
 def test_crossing_follows_difference_of_waits() -> None:
     """With ten requests per server in one zone and one in the other, half the fleet had been overloaded."""
-    b, _ = asking(cross_price=0.1)
+    b, _ = probing_bench(cross_price=0.1)
     b.balancer.zone_stats = [[6.0, 10.0, 10.0, 10.0], [0.0, 10.0, 10.0, 10.0]]
     b.balancer.adjust_cut_and_crossing(b.now + SECOND)
     risen = b.balancer.crossing_share
@@ -555,4 +555,4 @@
 
 
 def test_expensive_probes_are_not_used() -> None:
-    assert asking(probe_price=0.01)[1] and not asking(probe_price=0.08)[1]
+    assert probing_bench(probe_price=0.01)[1] and not probing_bench(probe_price=0.08)[1]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -113,7 +113,7 @@
             client.writer.write(request())
             await connections.coming.wait()
             [one] = node.host._open.values()
-            one.expires = node.host.now()
+            one.expires_at = node.host.now()
             connections.let.set()
             assert (await node.event(completed)).outcome == Outcome.MOOT
             assert (await client.answer())[0] == 503 and served.seen == []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,7 +23,7 @@
     """A request without a final answer, as the checker knows it."""
 
     cls: int
-    expires: int
+    expires_at: int
     attempts: int = 0
     out: bytes | None = None  # endpoint of the attempt in flight
     ran: tuple[bytes, int] | None = None  # endpoint and time of the first attempt that may have run
@@ -131,10 +131,10 @@
     def expire(self) -> None:
         """Time out attempts whose deadline has passed, as a timeout never exceeds the client's."""
         for rid, owed in list(self.owed.items()):
-            if owed.expires <= self.now and owed.out:
+            if owed.expires_at <= self.now and owed.out:
                 self.complete(rid, Outcome.TIMEOUT)
                 assert rid not in self.owed, "no final answer to the time-out at the deadline"
-            elif owed.expires <= self.now:
+            elif owed.expires_at <= self.now:
                 raise AssertionError("held unsent until its client left")
 
 
@@ -311,4 +311,4 @@
         [action] = bench.answer(send, api.Outcome.RESET)
         assert isinstance(action, api.Send if sent_again else api.Fail)
         if isinstance(action, api.Send):
-            assert action.before == bench.now + cls.window
+            assert action.send_before == bench.now + cls.window
--- a/tests/test_run_time_rules.py
+++ b/tests/test_run_time_rules.py
@@ -12,7 +12,7 @@
 from sprucenotch.node import config, metrics
 from sprucenotch.node.attempt import Attempt
 from sprucenotch.node.pool import Pool
-from sprucenotch.node.rules import HOLD_UP, CloseReason, Rule
+from sprucenotch.node.rules import MAX_SEND_DELAY_NS, CloseReason, Rule
 from tests.sidecar import (
     Seen,
     always_ok,
@@ -62,7 +62,10 @@
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
-            for held_up, broken in ((HOLD_UP - 100_000_000, 0), (HOLD_UP + 100_000_000, 1)):
+            for held_up, broken in (
+                (MAX_SEND_DELAY_NS - 100_000_000, 0),
+                (MAX_SEND_DELAY_NS + 100_000_000, 1),
+            ):
                 before, sent = node.host.now, node.host.rules.sent
 
                 def late(asked, pool, now, sent=sent, held_up=held_up):  # type: ignore[no-untyped-def]
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -22,14 +22,14 @@
 from sprucenotch.node.exchange import Exchange
 from sprucenotch.node.frontend import REQUEST_CHECK_INTERVAL, ClientConnection, Frontend
 from sprucenotch.node.ledger import Incoming
-from sprucenotch.node.patience import BODY_CHECK_START, HEAD_TIMEOUT, MIN_BODY_RATE
+from sprucenotch.node.request_time_limit import BODY_CHECK_START, HEAD_TIMEOUT, MIN_BODY_RATE
 from sprucenotch.node.rules import Rules
 from sprucenotch.node.stream import (
     ANSWER_RESERVATION,
     MAX_BODY_SIZE,
+    MAX_BUFFERED_BODY_SIZE,
     MAX_READ_SIZE,
     READ_BUFFER,
-    WHOLE_MOST,
     Budget,
     Stream,
 )
@@ -104,7 +104,7 @@
         post_head(LENGTH) + LONG,
         post_head(CHUNKED) + chunked(LONG),
         post_head(CHUNKED) + chunked(LONG, trailer=TRAILER),
-        post_head(CHUNKED) + chunked(LONG[:WHOLE_MOST], trailer=TRAILER),
+        post_head(CHUNKED) + chunked(LONG[:MAX_BUFFERED_BODY_SIZE], trailer=TRAILER),
     ],
 )
 @pytest.mark.parametrize("form", ["length", "chunks", "close"])
@@ -126,7 +126,7 @@
     async def test() -> None:
         async with raw_engine(echo) as dial, sidecar(dial) as node:
             client = await node.client()
-            expected = LONG if len(sent) > len(LONG) else LONG[:WHOLE_MOST]
+            expected = LONG if len(sent) > len(LONG) else LONG[:MAX_BUFFERED_BODY_SIZE]
             for _ in range(2):  # the client's connection stays usable
                 client.writer.write(sent)
                 headers = await head_of(client.reader)
@@ -168,7 +168,7 @@
             headers = await head_of(client.reader)
             begun = await client.reader.readexactly(100_000)  # streamed before the answer is complete
             [pending] = node.host._open.values()
-            while node.host.now() < pending.expires + 10**8:
+            while node.host.now() < pending.expires_at + 10**8:
                 await asyncio.sleep(0.05)
             event = await node.event(lambda e: isinstance(e, api.Completed))
             assert (event.outcome, event.over) == (Outcome.OK, True)  # reported as soon as the answer begins
@@ -204,8 +204,8 @@
                 await asyncio.sleep(0.01)
             [pending] = node.host._open.values()
             assert pending.attempt is not None
-            assert time.monotonic_ns() < pending.attempt._eager_from < time.monotonic_ns() + 250_000_000
-            while time.monotonic_ns() < pending.attempt._eager_from:
+            assert time.monotonic_ns() < pending.attempt._stream_from < time.monotonic_ns() + 250_000_000
+            while time.monotonic_ns() < pending.attempt._stream_from:
                 await asyncio.sleep(0.01)
             half.set()
             await head_of(client.reader)
@@ -471,7 +471,7 @@
             return ok()
 
         async with endpoint(held) as served, sidecar(served.dial) as node:
-            node.host.budget.most = ANSWER_RESERVATION + 10
+            node.host.budget.max_bytes = ANSWER_RESERVATION + 10
             first, second = await node.client(), await node.client()
             first.writer.write(request())
             await served.arrived.wait()
@@ -498,7 +498,7 @@
             while any(request.attempt is not None for request in node.host._open.values()):
                 await asyncio.sleep(0.01)
             held = sum(request.reserved for request in node.host._open.values())
-            assert held == node.host.budget.used == WHOLE_MOST * len(node.host._open) > 0
+            assert held == node.host.budget.used == MAX_BUFFERED_BODY_SIZE * len(node.host._open) > 0
             client.writer.transport.abort()
             await wait_until_released(node)
 
@@ -506,7 +506,7 @@
 
 
 async def _max_buffered_answer() -> bytes:
-    return ok(b"x" * WHOLE_MOST)
+    return ok(b"x" * MAX_BUFFERED_BODY_SIZE)
 
 
 def test_body_memory_limit_allows_for_a_second_process() -> None:
@@ -689,7 +689,7 @@
         return b"".join(self.transport.written)
 
 
-SHORT, AT_LIMIT, OVER_LIMIT = b"s" * 300, b"b" * WHOLE_MOST, b"o" * (WHOLE_MOST + 1)
+SHORT, AT_LIMIT, OVER_LIMIT = b"s" * 300, b"b" * MAX_BUFFERED_BODY_SIZE, b"o" * (MAX_BUFFERED_BODY_SIZE + 1)
 FORMS = [
     (request(), b"GET", b""),
     (request("post", body=SHORT), b"POST", SHORT),
--- a/tests/test_whole_list.py
+++ b/tests/test_whole_list.py
@@ -9,11 +9,11 @@
 from sprucenotch import api
 from sprucenotch.api import Outcome
 from sprucenotch.node import config
-from sprucenotch.node.stream import WHOLE_MOST
+from sprucenotch.node.stream import MAX_BUFFERED_BODY_SIZE
 from tests.helpers import MS
 from tests.helpers import endpoint as listed
 from tests.sidecar import Sidecar, always_ok, endpoint, entry, request, run, sidecar
-from tests.test_choice import asking
+from tests.test_choice import probing_bench
 from tests.test_leaving import completed, late
 
 ENGINE = config.endpoint_id("s-0")
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("back", [False, True], ids=["gone", "gone and named again"])
-@pytest.mark.parametrize("body", [b"", b"x" * (WHOLE_MOST + 1)], ids=["short", "upload"])
+@pytest.mark.parametrize("body", [b"", b"x" * (MAX_BUFFERED_BODY_SIZE + 1)], ids=["short", "upload"])
 def test_removed_engine_gets_no_request_on_connection_being_opened(body: bytes, back: bool) -> None:
     """If it is listed again it may be another process, so the earlier attempt is not sent."""
 
@@ -82,7 +82,7 @@
 
 
 def test_removed_engine_gets_no_request_after_its_probe_answer() -> None:
-    b, asked = asking()
+    b, asked = probing_bench()
     b.give(api.Probed(asked[0], Outcome.OK, 5 * MS, ()))  # answers of the same loop turn are awaited
     others = [listed(n, zone=n % 2) for n in range(1, 17)]
     b.give_list(*(e for e in others if e.id != asked[0]), kind=api.ListKind.FULL)
