--- a/sprucenotch/cli/config.py
+++ b/sprucenotch/cli/config.py
@@ -10,7 +10,7 @@
 
 from sprucenotch.cli.output import AsJson, Exit, columns, fail, print_json
 from sprucenotch.config import resolve, schema
-from sprucenotch.node.config import Config, ConfigError, parse, read, stand_in
+from sprucenotch.node.config import Config, ConfigError, apply_environment, parse, read
 
 app = typer.Typer(no_args_is_help=True, help="Check, show and compare configuration files (JSON or TOML).")
 File: TypeAlias = Annotated[Path, typer.Argument(help="The platform's JSON, or TOML if it is named .toml.")]
@@ -21,7 +21,7 @@
     try:
         raw = read(str(path))
         effective = dict(raw)
-        stand_in(effective, os.environ)
+        apply_environment(effective, os.environ)
         return raw, parse(effective)
     except ConfigError as error:
         fail(Exit.BAD_INPUT, f"{path}: {error}")
--- a/sprucenotch/node/acceptor.py
+++ b/sprucenotch/node/acceptor.py
@@ -30,19 +30,19 @@
 class Acceptor:
     """Accepts the connections of a listening socket one at a time: each gets its protocol before the next.
 
-    `make_room` closes an idle connection, if there is one; it is called while descriptors stay short. `count`
-    is called for each accept that failed.
+    `free_descriptor` closes an idle connection, if there is one; it is called while descriptors stay short.
+    `count` is called for each accept that failed.
     """
 
     def __init__(
         self,
         listener: socket.socket,
         protocol: Callable[[], asyncio.BufferedProtocol],
-        make_room: Callable[[], None],
+        free_descriptor: Callable[[], None],
         count: Callable[[str], None],
     ) -> None:
         self._listener, self._protocol = listener, protocol
-        self._make_room, self._count = make_room, count
+        self._free_descriptor, self._count = free_descriptor, count
         self._loop = asyncio.get_running_loop()
         self._waiting: asyncio.Future[None] | None = None  # for the next connection
         self._closing = False
@@ -105,7 +105,7 @@
         self._failures += 1
         self._count("accept_failed")
         if self._shortage.lasts(problem):
-            self._make_room()
+            self._free_descriptor()
         at_once = problem.errno not in EXHAUSTED and self._failures <= MAX_FAILURES_AT_ONCE
         await asyncio.sleep(0 if at_once else next(self._pauses))
 
@@ -118,11 +118,11 @@
     async def _wait_readable(self) -> None:
         """Wait until a connection is queued or the listener is to be closed."""
         self._waiting = self._loop.create_future()
-        self._watch.want(select.EPOLLIN)
+        self._watch.set_events(select.EPOLLIN)
         try:
             await self._waiting
         finally:
-            self._watch.want(0)
+            self._watch.set_events(0)
             self._waiting = None
 
     def _wake(self, events: int = 0) -> None:
--- a/sprucenotch/node/attempt.py
+++ b/sprucenotch/node/attempt.py
@@ -58,7 +58,7 @@
         "_payload",
         "_pool",
         "_purpose",
-        "_rest",
+        "_reuse_timer",
         "_stream_from",
         "_upload",
         "_upstream",
@@ -81,18 +81,20 @@
         self._done: Callable[[int, Answer | None], None] | None = done
         self._connection: Connection | None = None
         self._connect: asyncio.Task[None] | None = None
-        self._rest: asyncio.TimerHandle | None = None  # while it waits until an idle connection may be reused
+        self._reuse_timer: asyncio.TimerHandle | None = (
+            None  # while it waits until an idle connection may be reused
+        )
         self._stream_from = NEVER
         self._failed_locally = False  # whether the last connect failed on this machine
 
     def start(self) -> None:
-        connection = self._upstream.take(self._pool)
+        connection = self._upstream.take_idle(self._pool)
         if connection is not None:
             self._write(connection)
-        elif self._pool.idle and self._rest is None:  # at most one wait, bounded by REST
+        elif self._pool.idle and self._reuse_timer is None:  # at most one wait, bounded by REUSE_DELAY_NS
             self._upstream.note_reuse_wait(self._pool)
-            self._rest = self._upstream.loop.call_later(
-                self._upstream.rests(self._pool), self._on_reuse_delay_over
+            self._reuse_timer = self._upstream.loop.call_later(
+                self._upstream.reuse_timer_delay(self._pool), self._on_reuse_delay_over
             )
         elif self._upstream.ensure_capacity():
             self._connect = self._upstream.loop.create_task(self._open())
@@ -107,7 +109,7 @@
         else:
             self.start()
 
-    def set_stream_from(self, at: int) -> None:
+    def release_answers_from(self, at: int) -> None:
         """Stop holding back answers from `at` on, in nanoseconds of the monotonic clock.
 
         An answer is held back so that the request can still be retried; after `at` there is no time for
@@ -118,13 +120,13 @@
             self._connection.stream_from = at
 
     @property
-    def _whole(self) -> bool:
+    def _fully_sent(self) -> bool:
         return self._connection is not None and self._connection.request_sent
 
     @property
-    def partial(self) -> bool:
+    def partially_sent(self) -> bool:
         """Whether only a part of the request has been sent. Closed now, it is never executed."""
-        return self._connection is not None and not self._whole
+        return self._connection is not None and not self._fully_sent
 
     def abandon(self, outcome: int) -> None:
         """Cancel the attempt and close its connection, before anything else is done for the request.
@@ -132,10 +134,10 @@
         A request whose last byte has not been sent was never executed, so a timeout is then reported as a
         failure to connect.
         """
-        if outcome == Outcome.TIMEOUT and not self._whole:
+        if outcome == Outcome.TIMEOUT and not self._fully_sent:
             outcome = Outcome.LOCAL_FAILURE if self._failed_locally else Outcome.CONNECT_FAILED
-        if self._rest is not None:
-            self._rest.cancel()
+        if self._reuse_timer is not None:
+            self._reuse_timer.cancel()
         if self._connect is not None:
             self._connect.cancel()
         if self._connection is not None:
@@ -153,7 +155,7 @@
         self._connect = None
         if self._done is None:
             if connection is not None:
-                self._upstream.give(self._pool, connection)
+                self._upstream.release(self._pool, connection)
         elif connection is None:
             self._end(failure, None)
         else:
@@ -170,12 +172,12 @@
         attempts), the client may have left, the deadline may have passed.
         """
         may_send = self._purpose.may_send(self._upstream.now())
-        if not (may_send and self._pool.takes(connection) and self._pool.location == self._location):
-            self._upstream.give(self._pool, connection)
+        if not (may_send and self._pool.accepts(connection) and self._pool.location == self._location):
+            self._upstream.release(self._pool, connection)
             self._end(Outcome.CONNECT_FAILED if may_send else Outcome.MOOT, None)
             return
         self._connection = connection
-        free = partial(self._upstream.give, self._pool, connection)
+        free = partial(self._upstream.release, self._pool, connection)
         if not connection.send(self._payload(), self._answered, self._written, free, self._upload):
             self._end(Outcome.CONNECT_FAILED, None)
         else:
--- a/sprucenotch/node/config.py
+++ b/sprucenotch/node/config.py
@@ -20,12 +20,12 @@
 
 SECOND = 1_000_000_000
 DEFAULT_MAX_SOCKETS = 1024  # descriptors if the file sets no limit: the maximum given by the deployment
-MEMORY_LEAST = 32  # megabytes; every deployment provides at least this
+MIN_MEMORY_MB = 32  # megabytes; every deployment provides at least this
 # Descriptors for the program's own use: standard streams (3), event loop (10) and its poller (1), listeners
 # and the peers' socket (3); calls to discovery: the watch, discovery.MAX_OVERDUE left open, two closing (7);
 # lock and journal of the state, and their replacement (5); temporarily a file being read, and one client and
 # one management connection above their limit until the close of another takes effect (3). In all 32.
-OWN_SOCKETS = 32
+OWN_DESCRIPTORS = 32
 MIN_BODY_BYTES = 1_000_000  # below this no long body could be passed on
 # Keys of the settings that may be absent from a file even if the previous one had them.
 OPTIONAL_KEYS = frozenset(("AimStretch", "PassesDeadline", "WarmKeys"))
@@ -103,22 +103,22 @@
     # the rest.
 
     @property
-    def clients_most(self) -> int:
+    def max_clients(self) -> int:
         return max(1, self.sockets // 3)
 
-    def bodies_most(self, own: int) -> int:
+    def max_body_bytes(self, own: int) -> int:
         """Bytes of memory for bodies: what the program itself (`own`) leaves of half the limit, less a
         quarter reserved for data kept with them, such as the ledger and request heads."""
         return max(MIN_BODY_BYTES, (self.memory // 2 - own) * 3 // 4)
 
     @property
-    def callers_most(self) -> int:
+    def max_management_connections(self) -> int:
         return max(4, self.sockets // 32)
 
     @property
-    def upstream_most(self) -> int:
-        half = (self.sockets - self.clients_most) // 2
-        return max(1, half - self.callers_most - OWN_SOCKETS)
+    def max_upstream_connections(self) -> int:
+        half = (self.sockets - self.max_clients) // 2
+        return max(1, half - self.max_management_connections - OWN_DESCRIPTORS)
 
 
 def load(environ: Mapping[str, str]) -> Config:
@@ -133,7 +133,7 @@
         top = read(path)
     except ConfigError as problem:
         raise type(problem)(f"PROXY_CONFIG {path}: {problem}") from None
-    stand_in(top, environ)
+    apply_environment(top, environ)
     return parse(top)
 
 
@@ -164,7 +164,7 @@
     return top
 
 
-def stand_in(top: dict[str, Any], environ: Mapping[str, str]) -> None:
+def apply_environment(top: dict[str, Any], environ: Mapping[str, str]) -> None:
     """Set keys that the file leaves out from the PROXY_<KEY> variables."""
     for key in ("name", "listen", "discovery", "mgmt"):
         if (value := environ.get(f"PROXY_{key.upper()}")) is not None:
@@ -200,7 +200,7 @@
         mgmt=address(file.mgmt) if file.mgmt is not None else None,
         seed=_parse_seed(file.seed),
         sockets=_max_sockets(file.limits.sockets),
-        memory=(_positive_int(file.limits.memory_mb) or MEMORY_LEAST) * 1_000_000,
+        memory=(_positive_int(file.limits.memory_mb) or MIN_MEMORY_MB) * 1_000_000,
         peer_listen=address(file.peer_listen) if file.peer_listen else None,
         peers=tuple(map(address, file.peers or ())),
         peers_all=address(file.peers_all) if file.peers_all else None,
--- a/sprucenotch/node/connection.py
+++ b/sprucenotch/node/connection.py
@@ -17,7 +17,7 @@
     STALL_TIMEOUT,
     Stream,
     chunk,
-    nothing,
+    no_op,
 )
 from sprucenotch.node.transport import SocketTransport
 
@@ -55,7 +55,7 @@
         self.counted = False  # among the open and connecting ones
         self._transport: SocketTransport | None = None
         self._on_answer: AnswerCallback | None = None
-        self._on_finished = nothing
+        self._on_finished = no_op
         self._upload: Stream | None = None  # the streamed body of the current request
         self._answer_stream: Stream | None = None  # the body of a streamed answer
         self._answer: Answer | None = None
@@ -64,7 +64,7 @@
         self._write_blocked = self._paused = False
         self.request_sent = False  # the last byte of the request has been sent
         self._stall_timer: asyncio.TimerHandle | None = None
-        self.idle_since = self.rests_until = 0
+        self.idle_since = self.reusable_at = 0
         self.dial: Address | None = None  # of the endpoint
         self.max_body_size = MAX_BUFFERED_BODY_SIZE
         self.may_stream = False  # a longer body is streamed; otherwise it is an error
@@ -91,8 +91,8 @@
         self,
         data: bytes,
         on_answer: AnswerCallback,
-        on_written: Callable[[], None] = nothing,
-        on_finished: Callable[[], None] = nothing,
+        on_written: Callable[[], None] = no_op,
+        on_finished: Callable[[], None] = no_op,
         upload: Stream | None = None,
     ) -> bool:
         """Write a request, whose body comes from `upload` if it is streamed. Return False if its last byte
@@ -133,7 +133,7 @@
     def close(self) -> None:
         """Abort the connection without calling the callbacks of the current request."""
         self._end_sending()
-        self._on_answer, self._on_finished, self._answer_stream = None, nothing, None
+        self._on_answer, self._on_finished, self._answer_stream = None, no_op, None
         self._detach_upload()
         if self._transport is not None:
             self._transport.abort()
@@ -270,7 +270,7 @@
             self._deliver_stream()
         stream, self._answer_stream = self._answer_stream, None
         on_answer, self._on_answer = self._on_answer, None
-        on_finished, self._on_finished = self._on_finished, nothing
+        on_finished, self._on_finished = self._on_finished, no_op
         if stream is not None:
             stream.finish(self._answer_complete)
         self._pause_answer(False)
--- a/sprucenotch/node/discovery.py
+++ b/sprucenotch/node/discovery.py
@@ -38,14 +38,14 @@
 # In the pushed mode the sidecar is held to what its local agent knows, even while a call to the agent hangs.
 # A hung call must therefore time out, and the next one begin, within the drain grace. Calls to the agent are
 # cheap.
-AGENT_HOLD, HOLD_GRACE_PUSHED = 0.25, 0.2
+AGENT_HOLD, AGENT_HOLD_TIMEOUT_MARGIN = 0.25, 0.2
 AGENT_TIMEOUT = 5.0
 OVERDUE_TIMEOUT = 10.0  # of a call left open, from sending its request: longer than a service holds it
 UNCHANGED_LIST_PAUSE = 0.05  # between watches without changes; well below the 200 ms that end a watch
 AGENT_RETRY_INTERVAL = 0.05  # after a failed call to the agent
 # A call without an answer may be slow rather than hung. The oldest calls stay open while later ones are made,
 # so that they keep their place in the queue of the service; the first answer counts. Their sockets are
-# included in config.OWN_SOCKETS.
+# included in config.OWN_DESCRIPTORS.
 MAX_OVERDUE = 4
 WHOLE_LIST_QUERY = ""  # no version in the query: the answer is always a whole list
 
@@ -93,7 +93,7 @@
 
     def retune(self, config: Config) -> None:
         self._apply_config(config)
-        self.move(config.discovery)
+        self.change_address(config.discovery)
         self.start()
 
     def watch(self, on: bool) -> None:
@@ -105,7 +105,7 @@
             self._watcher = self._loop.create_task(self._watch())
             self._watcher.add_done_callback(self._on_watch_done)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Continue at another address. The old one soon closes its connections and may not answer."""
         if address == self._address:
             return
@@ -162,7 +162,7 @@
         query = self._query(0.0 if self._last_answer_at is None else AGENT_HOLD)
         if self._withdrawals.whole_list_due(self._host.now()):
             query = WHOLE_LIST_QUERY
-        return await self._call_or_leave_open(query, AGENT_HOLD + HOLD_GRACE_PUSHED, AGENT_TIMEOUT)
+        return await self._call_or_leave_open(query, AGENT_HOLD + AGENT_HOLD_TIMEOUT_MARGIN, AGENT_TIMEOUT)
 
     async def _call_service(self) -> HostList:
         """Call the service, with a hold if this call directly follows an answer.
--- a/sprucenotch/node/exchange.py
+++ b/sprucenotch/node/exchange.py
@@ -32,7 +32,7 @@
             self.upload.drop()  # the rest of the request body
         self._flush()
 
-    def say(self, status: int, text: bytes, headers: Headers | None = None) -> None:
+    def answer_with_text(self, status: int, text: bytes, headers: Headers | None = None) -> None:
         """Answer with a status and a line of text."""
         self.put(Answer(status, headers or [], text + b"\n"))
 
@@ -42,10 +42,10 @@
 
     def refuse(self, retry_after: int) -> None:
         headers = [(b"Retry-After", b"%.3f" % (retry_after / SECOND))] if retry_after else []
-        self.say(503, b"refused; trying again is harmless", headers)
+        self.answer_with_text(503, b"refused; trying again is harmless", headers)
 
     def fail(self, timed_out: bool) -> None:
-        self.say(504 if timed_out else 502, b"failed; it may have run")
+        self.answer_with_text(504 if timed_out else 502, b"failed; it may have run")
 
     def framing(self, answer: Answer, close: bool) -> list[bytes]:
         """The header lines that tell the client where the answer and the connection end."""
--- a/sprucenotch/node/frontend.py
+++ b/sprucenotch/node/frontend.py
@@ -85,7 +85,7 @@
         return not self._exchanges and not self._reading
 
     @property
-    def left(self) -> bool:
+    def used_and_idle(self) -> bool:
         """Whether it has been used, has no pending request and no unread input."""
         return not self._unused and self.idle and not self._unread()
 
@@ -125,7 +125,7 @@
         self._body = bytearray()  # buffered; or collected for a single write to the stream
         self._head_size = self._body_size = 0  # bytes; the head includes trailers
         self._error: BadRequest | None = None
-        self._reading = self._headed = False
+        self._reading = self._head_received = False
         self._exchange: Exchange | None = None  # of the request being read, once its head is complete
         self._incoming: Incoming | None = None
         self._reserved = 0  # bytes in the budget, until the ledger takes them over
@@ -154,7 +154,7 @@
         None then closes the connection."""
         for exchange in self._exchanges:
             if exchange.answer is None:
-                self.frontend.host.gone(exchange.id)
+                self.frontend.host.client_gone(exchange.id)
 
     def _schedule_disconnect_check(self, active: bool) -> None:
         if self._disconnect_timer is not None:
@@ -175,14 +175,14 @@
         or the loop is late. If the client left, its pending requests are given up here."""
         if self._socket_events() & PEER_CLOSED_EVENTS:
             self.eof_received()
-            self.shut(CloseReason.CLIENT_LEFT)
+            self.close_connection(CloseReason.CLIENT_LEFT)
             return False
         return self._transport is not None
 
     def _discard_answer(self, exchange: Exchange) -> None:
         """Give up an exchange whose answer cannot reach the client any more."""
         if exchange.answer is None:
-            self.frontend.host.gone(exchange.id)
+            self.frontend.host.client_gone(exchange.id)
             return
         if exchange.answer.body_stream is not None:
             exchange.answer.body_stream.drop()
@@ -226,13 +226,13 @@
         )
         if self._reading_paused or self._unread():  # the sidecar is the one that is late, not the peer
             return
-        if not self._request_timeout.advance(REQUEST_CHECK_INTERVAL, self._headed, self._body_size):
+        if not self._request_timeout.advance(REQUEST_CHECK_INTERVAL, self._head_received, self._body_size):
             return
         self._cancel_request_timer()
         if self._reading:
             self._reject(BadRequest(408, "the request took too long"))
         else:
-            self.shut(CloseReason.UNUSED)
+            self.close_connection(CloseReason.UNUSED)
 
     def _set_stall_timer(self, active: bool, within: float = STALL_TIMEOUT) -> None:
         if self._stall_timer is not None:
@@ -245,7 +245,7 @@
         if self._writing is not None:
             self._reset_connection(CloseReason.NOT_READING)
         else:
-            self.shut(CloseReason.NOT_READING, abort=True)
+            self.close_connection(CloseReason.NOT_READING, abort=True)
 
     def _pause_upload(self, active: bool) -> None:
         self._upload_paused = active
@@ -254,7 +254,7 @@
     def _update_reading(self) -> None:
         """Pause or resume reading. A request body is read, or discarded, even if answers are blocked: a
         client may write all of it before it reads."""
-        stop = not self._discarding and (self._upload_paused if self._headed else self._pipeline_full)
+        stop = not self._discarding and (self._upload_paused if self._head_received else self._pipeline_full)
         if stop != self._reading_paused and self._transport is not None and not self._transport.is_closing():
             self._reading_paused = stop
             self._schedule_disconnect_check(stop)
@@ -276,7 +276,7 @@
             self._exchanges.append(exchange)
         exchange.closes_connection = True
         if exchange.answer is None:
-            self.frontend.host.gone(exchange.id)
+            self.frontend.host.client_gone(exchange.id)
             exchange.id = 0  # the host is done with it
             self._answer_error(exchange, error)
         elif exchange not in self._exchanges:
@@ -284,7 +284,7 @@
 
     def _answer_error(self, exchange: Exchange, error: BadRequest) -> None:
         self.frontend.host.count(f"rejected_{error.status}")
-        exchange.say(error.status, error.why.encode())
+        exchange.answer_with_text(error.status, error.why.encode())
 
     def flush(self) -> None:
         """Send the answers that are due, in the order of their requests."""
@@ -302,13 +302,13 @@
                 exchange.http10 and answer.body_stream is not None and answer.body_stream.length is None
             )
             exchange.closes_connection |= until_close or (
-                self.frontend.draining and self._nothing_after(exchange)
+                self.frontend.draining and self._is_last_request(exchange)
             )
             self._write(exchange, answer)
         self._send_continue()
         self._update_reading()
 
-    def _nothing_after(self, exchange: Exchange) -> bool:
+    def _is_last_request(self, exchange: Exchange) -> bool:
         """Whether no further request has arrived, even in part. A draining sidecar closes the connection only
         after all requests on it have been answered."""
         begun = self._reading and self._exchange is not exchange
@@ -353,14 +353,14 @@
         if self._transport is not None:
             linger = struct.pack("ii", 1, 0)
             self._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-            self.shut(reason, abort=True)
+            self.close_connection(reason, abort=True)
 
     def _answer_sent(self) -> None:
         """Finish the exchange whose answer has been written completely."""
         exchange, self._writing = self._exchanges.popleft(), None
         self.frontend.host.finish_request(exchange.id)
         # The head of a streamed answer may have been sent without "Connection: close" before the drain.
-        if exchange.closes_connection or (self.frontend.draining and self.left):
+        if exchange.closes_connection or (self.frontend.draining and self.used_and_idle):
             self._stop_answering()
 
     def _stop_answering(self) -> None:
@@ -375,7 +375,7 @@
             self._set_stall_timer(True, LINGER_TIMEOUT)
             self._update_reading()
         else:
-            self.shut(CloseReason.LAST_ANSWER)
+            self.close_connection(CloseReason.LAST_ANSWER)
 
     def pause_writing(self) -> None:
         self._write_blocked = True
@@ -392,7 +392,7 @@
                 self._writing.answer.body_stream.set_paused(False)
         self.flush()
 
-    def shut(self, reason: CloseReason, abort: bool = False) -> None:
+    def close_connection(self, reason: CloseReason, abort: bool = False) -> None:
         """Close the connection; every close by the sidecar goes through here. Data already written is still
         sent, unless `abort` is set."""
         if self._transport is None:
@@ -416,10 +416,10 @@
     def closing(self) -> bool:
         return self._transport is not None and self._transport.is_closing()
 
-    def make_room(self) -> None:
+    def free_descriptor(self) -> None:
         """Close the connection to free its descriptor. After the last answer it is aborted, as a close would
         wait for output that the client may never read."""
-        self.shut(CloseReason.ROOM, abort=self._last_answer_sent)
+        self.close_connection(CloseReason.ROOM, abort=self._last_answer_sent)
 
     # ---- httptools' callbacks
 
@@ -434,7 +434,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._add_head_size(len(name) + len(value), 431)
-        if not self._headed:  # else it is a trailer, which must not count as a header
+        if not self._head_received:  # else it is a trailer, which must not count as a header
             # The parser keeps trailing whitespace.
             lower_name, value = name.lower(), value.rstrip(HEADER_WHITESPACE)
             self._headers[lower_name] = value
@@ -442,7 +442,7 @@
                 self._forwarded_lines.append(b"%s: %s" % (name, value))
 
     def on_headers_complete(self) -> None:
-        self._headed = True
+        self._head_received = True
         http10 = self._parser.get_http_version() == "1.0"
         exchange = Exchange(self.flush, self.connected, not self._parser.should_keep_alive(), http10)
         self._exchange = exchange
@@ -563,7 +563,7 @@
     def on_message_complete(self) -> None:
         exchange, incoming = self._exchange, self._incoming
         self._exchange = None  # a parse error from here on does not concern it
-        self._reading = self._headed = self._upload_paused = False
+        self._reading = self._head_received = self._upload_paused = False
         self._cancel_request_timer()
         if self._discarding or exchange is None or exchange.answer is not None:
             self._release_reserved()
@@ -589,8 +589,8 @@
             self._answer_up_check(exchange)
 
     def _answer_up_check(self, exchange: Exchange) -> None:
-        ready = self.frontend.host.listed
-        exchange.say(200 if ready else 503, b"up" if ready else b"no endpoint is known yet")
+        ready = self.frontend.host.has_endpoints
+        exchange.answer_with_text(200 if ready else 503, b"up" if ready else b"no endpoint is known yet")
 
 
 class Frontend:
@@ -601,7 +601,7 @@
         self.listening = False
         self.draining = False
         self._drained = asyncio.Event()
-        self._max_connections = config.clients_most
+        self._max_connections = config.max_clients
         self._last_number = 0
         self._connections: dict[ClientConnection, None] = {}
         self.retune(config)
@@ -616,7 +616,7 @@
             open_connections = self._open_connections()
             if len(open_connections) >= self._max_connections:
                 # Over the limit: close an idle connection, or else the new one.
-                next(itertools.chain(self._closable(open_connections), (connection,))).make_room()
+                next(itertools.chain(self._closable(open_connections), (connection,))).free_descriptor()
         self._connections[connection] = None
 
     def next_number(self) -> int:
@@ -624,7 +624,7 @@
         self._last_number += 1
         return self._last_number
 
-    def make_room(self) -> None:
+    def free_descriptor(self) -> None:
         """Close an idle connection to free its descriptor, unless one is closing already. New connections are
         skipped, as their first request may be about to arrive."""
         open_connections = self._open_connections()
@@ -632,7 +632,7 @@
             return
         old_enough = [c for c in open_connections if c.used or c.age >= MIN_UNUSED_AGE]
         if (closable := next(self._closable(old_enough), None)) is not None:
-            closable.make_room()
+            closable.free_descriptor()
 
     def _open_connections(self) -> list[ClientConnection]:
         return [c for c in self._connections if not c.closing]
@@ -641,7 +641,7 @@
         """Connections that may be closed, best first. A used one loses nothing: a request that crosses its
         close is sent again by the client. Idle ones follow. One whose first request has arrived in part
         is never closed for this; `RequestTimeLimit` ends the wait for a request that stays incomplete."""
-        done = (c for c in open_connections if c.left)
+        done = (c for c in open_connections if c.used_and_idle)
         idle = (c for c in open_connections if c.idle and not c.has_unread_request)
         return itertools.chain(done, idle)
 
@@ -658,8 +658,8 @@
         """Close used connections that are idle. One that is still unused may get its first request at any
         moment; the wait for that times out by itself."""
         for connection in list(self._connections):
-            if connection.left:
-                connection.shut(CloseReason.DRAIN)
+            if connection.used_and_idle:
+                connection.close_connection(CloseReason.DRAIN)
 
     async def finished(self) -> None:
         """Wait until all answers have been sent and all connections are closed."""
--- a/sprucenotch/node/host.py
+++ b/sprucenotch/node/host.py
@@ -25,10 +25,10 @@
 from sprucenotch.node.log import event as tell
 from sprucenotch.node.pool import Pool
 from sprucenotch.node.rules import Rule, Rules, may_have_run
-from sprucenotch.node.standing import MS, STATUS_EVERY, Standing, own_memory
+from sprucenotch.node.status import MS, STATUS_INTERVAL_S, StatusReport, own_memory
 from sprucenotch.node.stream import MAX_READ_SIZE, Budget, Stream
 from sprucenotch.node.telemetry import OUTCOMES, Telemetry
-from sprucenotch.node.upstream import TIMER_EARLY, Upstream
+from sprucenotch.node.upstream import MAX_TIMER_EARLY_S, Upstream
 from sprucenotch.policy.balance import Balancer
 from sprucenotch.seams.clock import Clock
 
@@ -55,11 +55,11 @@
         self._settings = config.settings
         self._loop, self.now = loop, clock.now
         self._balancer = Balancer(config.settings, config.seed)
-        self.budget = Budget(config.bodies_most(own_memory()[1]))
+        self.budget = Budget(config.max_body_bytes(own_memory()[1]))
         self.telemetry = Telemetry()
         self.rules = Rules(self.telemetry)
         self.upstream = Upstream(config, loop, clock.now, self.count)
-        self.standing = Standing(self._balancer, self.telemetry, self.upstream, clock.now)
+        self.status_report = StatusReport(self._balancer, self.telemetry, self.upstream, clock.now)
         self._access = AccessLog(config.log.access_per_s)
         self._open: dict[int, OpenRequest] = {}
         self._last_id = 0
@@ -76,10 +76,10 @@
         # Callbacks that are set by discovery, peers and recovery.
         self.watch: Callable[[bool], None] = lambda on: None
         self.tell: Callable[[int, bytes], None] = lambda peer, body: None
-        self.listed = False  # whether any endpoint is known yet
-        self.heard: Callable[[HostList, int], None] = lambda host_list, kind: None
+        self.has_endpoints = False  # whether any endpoint is known yet
+        self.on_host_list: Callable[[HostList, int], None] = lambda host_list, kind: None
         self._list_received = asyncio.Event()  # set once discovery has sent or confirmed the list
-        self.handed = False  # whether the previous process has handed over a fresh list
+        self.list_handed_over = False  # whether the previous process has handed over a fresh list
         self._start_deadline = self.now() + START_TIMEOUT
         self._drain_deadline: int | None = None  # set on SIGTERM: every request is answered by then
 
@@ -87,21 +87,21 @@
 
     def start(self, known: HostList) -> None:
         """Start the balancer with the host list known from before."""
-        self._schedule_status(self._loop.time() + STATUS_EVERY)
+        self._schedule_status(self._loop.time() + STATUS_INTERVAL_S)
         self.post(api.Attached())
         self.learn(known, api.ListKind.CACHED)
 
     def _schedule_status(self, due: float) -> None:
         def status() -> None:
             now = self._loop.time()
-            self._schedule_status(now + STATUS_EVERY)
-            self.standing.status(now - due)
+            self._schedule_status(now + STATUS_INTERVAL_S)
+            self.status_report.status(now - due)
 
         self._loop.call_at(due, status)
 
     def _set_classes(self) -> None:
         self._class_numbers = {c.name: number for number, c in enumerate(self._settings.classes)}
-        self.telemetry.know(self._settings.classes)
+        self.telemetry.register_classes(self._settings.classes)
 
     def retune(self, config: Config) -> None:
         """Apply changed settings to requests that arrive from now on."""
@@ -116,19 +116,19 @@
         longest = max(cls.limit for cls in self._settings.classes)
         self._drain_deadline = self.now() + min(longest, MAX_DRAIN_DEADLINE) + DRAIN_KILL_GRACE - DRAIN_MARGIN
 
-    def _expiry(self, now: int, deadline: int) -> int:
+    def _answer_deadline(self, now: int, deadline: int) -> int:
         """Return when a request that is complete now has to be answered."""
         expires_at = now + deadline - DEADLINE_MARGIN if deadline > DEADLINE_MARGIN else now
         return expires_at if self._drain_deadline is None else min(expires_at, self._drain_deadline)
 
     def learn(self, told: HostList, kind: int) -> None:
         """Apply a host list of that `api.ListKind`."""
-        self.listed = self.listed or bool(told.hosts)
+        self.has_endpoints = self.has_endpoints or bool(told.hosts)
         if kind != api.ListKind.CACHED:
             self._list_received.set()
-        self.upstream.learn(told.hosts, whole=kind != api.ListKind.DELTA)
-        self.telemetry.keep_engines(self.upstream)
-        self.heard(told, kind)
+        self.upstream.update_hosts(told.hosts, whole=kind != api.ListKind.DELTA)
+        self.telemetry.set_listed_engines(self.upstream)
+        self.on_host_list(told, kind)
         self.post(api.EndpointList(kind, tuple(host.endpoint for host in told.hosts)))
 
     def recall(self, learned: api.Learned, age: int) -> None:
@@ -146,19 +146,19 @@
     @property
     def informed(self) -> bool:
         """Whether engines are known, from a confirmed list or because START_TIMEOUT has passed."""
-        return self.listed and self.may_take_clients
+        return self.has_endpoints and self.may_take_clients
 
     @property
     def may_take_clients(self) -> bool:
         """Whether discovery or the previous process has provided a list, or START_TIMEOUT has passed."""
-        return self._list_received.is_set() or self.handed or self.now() >= self._start_deadline
+        return self._list_received.is_set() or self.list_handed_over or self.now() >= self._start_deadline
 
-    async def until_informed(self) -> None:
+    async def wait_until_may_take_clients(self) -> None:
         """Wait until clients may be accepted. Timers can fire slightly early, so the clock is read again."""
         while not self.may_take_clients:
             seconds_left = (self._start_deadline - self.now()) / SECOND
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._list_received.wait(), seconds_left + TIMER_EARLY)
+                await asyncio.wait_for(self._list_received.wait(), seconds_left + MAX_TIMER_EARLY_S)
 
     def post(self, event: api.Event) -> None:
         """Handle an event. Events that its actions cause are queued until all its actions are done."""
@@ -195,7 +195,8 @@
     def request(
         self, client: Client, incoming: Incoming, reservation: int, upload: Stream | None = None
     ) -> None:
-        """Add a request to the ledger; its client is answered exactly once unless `gone` is called first.
+        """Add a request to the ledger; its client is answered exactly once unless `client_gone` is called
+        first.
 
         The ledger takes over `reservation`, the bytes reserved in the budget. With `upload` the body is still
         arriving: `uploaded` is called once it is complete.
@@ -203,7 +204,7 @@
         self.count("requests")
         self._last_id += 1
         rid, now = self._last_id, self.now()
-        expires_at = self._expiry(now, incoming.deadline)
+        expires_at = self._answer_deadline(now, incoming.deadline)
         cls = self._settings.classes[self._class_numbers[incoming.cls]]
         request = self._open[rid] = OpenRequest(
             rid, client, incoming, expires_at, self._settings.max_attempts, reservation, upload, cls.effect,
@@ -240,14 +241,14 @@
         if request is None or request.answered:
             return
         now, request.uploading = self.now(), False
-        request.sent_at, request.expires_at = now, self._expiry(now, request.incoming.deadline)
+        request.sent_at, request.expires_at = now, self._answer_deadline(now, request.incoming.deadline)
         request.attempt_deadline = request.expires_at
         self._request_received(request)
         if request.attempt is not None:
             self._set_attempt_timeout(request, request.attempt)
         self.post(api.Uploaded(rid, request.expires_at))
 
-    def gone(self, rid: int) -> None:
+    def client_gone(self, rid: int) -> None:
         """Handle a client that left. An attempt whose request has been sent completely goes on: ending it
         would only cost a connection. One that waits for a connection ends once that is up, so that others
         can use it (`OpenRequest.may_send`); one that is partly sent ends at once, so that the server never
@@ -255,7 +256,7 @@
         if (request := self._mark_answered(rid)) is not None:
             self.finish_request(rid)
             self.post(api.Gone(rid))
-            if request.attempt is not None and request.attempt.partial:
+            if request.attempt is not None and request.attempt.partially_sent:
                 request.attempt.abandon(Outcome.CANCELLED)
 
     def finish_request(self, rid: int, broken: bool = False) -> None:
@@ -280,7 +281,7 @@
         now = self.now()
         if outcome_counts is self.telemetry.passed:
             self.telemetry.latency[request.incoming.cls].observe(now - request.received_at)
-        if self._access.on and self._access.wants(now):
+        if self._access.on and self._access.should_log(now):
             self._log_access(request, now, outcome_counts)
         self._release(request)
 
@@ -364,7 +365,7 @@
         number, request.attempts = request.attempts, request.attempts + 1
         request.sent_at, request.endpoint, request.attempt_deadline = now, action.endpoint, request.expires_at
         request.retry_before = action.send_before
-        if self.standing.is_cold(action.endpoint):
+        if self.status_report.is_cold(action.endpoint):
             self.count("cold_sends")
         done = partial(self._completed, request, number)
         attempt = self.upstream.attempt(
@@ -403,7 +404,7 @@
             request.attempt_timer = self._loop.call_later(
                 request.timeout / SECOND, attempt.abandon, Outcome.TIMEOUT
             )
-        attempt.set_stream_from(
+        attempt.release_answers_from(
             time.monotonic_ns() + int((request.attempt_deadline - request.sent_at) * MAX_BUFFERING_SHARE)
         )
 
--- a/sprucenotch/node/ledger.py
+++ b/sprucenotch/node/ledger.py
@@ -27,7 +27,7 @@
     def fail(self, timed_out: bool) -> None: ...
 
     def connected(self) -> bool:
-        """Check the socket for the client's end; if it left, call `Host.gone` before returning False."""
+        """Check the socket for the client's end; if it left, call `Host.client_gone`, then return False."""
 
 
 class Incoming(NamedTuple):
--- a/sprucenotch/node/listener.py
+++ b/sprucenotch/node/listener.py
@@ -25,12 +25,12 @@
     failures are retried for BIND_TIMEOUT. Raises OSError."""
 
     async def bind() -> socket.socket:
-        return bind_now(address, shared)
+        return bind_once(address, shared)
 
     return await retried(bind, BIND_TIMEOUT)
 
 
-def bind_now(
+def bind_once(
     address: Address, shared: bool = False, kind: socket.SocketKind = socket.SOCK_STREAM
 ) -> socket.socket:
     """Like `bound`, without retries."""
--- a/sprucenotch/node/log.py
+++ b/sprucenotch/node/log.py
@@ -113,7 +113,7 @@
         self._passed_over = 0
         self._log = logging.getLogger("sprucenotch.access")
 
-    def wants(self, now: int) -> bool:
+    def should_log(self, now: int) -> bool:
         """Whether to log a request that completes at `now`, in nanoseconds."""
         if now >= self._next:
             self._next = now + self._gap
--- a/sprucenotch/node/metrics.py
+++ b/sprucenotch/node/metrics.py
@@ -10,7 +10,7 @@
 
 from sprucenotch import __version__
 from sprucenotch.node.log import LogHandler
-from sprucenotch.node.standing import Standing, open_descriptors
+from sprucenotch.node.status import StatusReport, open_descriptors
 from sprucenotch.node.stream import Budget
 from sprucenotch.node.telemetry import OUTCOMES
 
@@ -27,13 +27,17 @@
 }
 
 
-def render(standing: Standing, budget: Budget) -> bytes:
+def render(status_report: StatusReport, budget: Budget) -> bytes:
     """Return all metrics with their current values."""
-    return "\n".join((*_lines(standing, budget), "# EOF\n")).encode()
+    return "\n".join((*_lines(status_report, budget), "# EOF\n")).encode()
 
 
-def _lines(standing: Standing, budget: Budget) -> Iterator[str]:
-    telemetry, decisions, process = standing.telemetry, standing.decisions(), standing.process()
+def _lines(status_report: StatusReport, budget: Budget) -> Iterator[str]:
+    telemetry, decisions, process = (
+        status_report.telemetry,
+        status_report.decisions(),
+        status_report.process(),
+    )
     yield from _family("build", "info", "Version of the program.", [("_info", {"version": __version__}, 1)])
     by_class = {"served": telemetry.passed, "refused": telemetry.dropped, "failed": telemetry.bad_gateway}
     yield from _family(
@@ -41,14 +45,16 @@
         (("_total", {"class": name, "outcome": outcome}, count)
          for outcome, counter in by_class.items() for name, count in counter.items()),
     )  # fmt: skip
-    yield from _latencies(standing)
+    yield from _latencies(status_report)
     yield from _family(
         "upstream_tries",
         "counter",
         "Attempts whose request was sent completely.",
         [("_total", {}, telemetry.upstream_tries)],
     )
-    attempts = [(standing.upstream.name(engine), counts) for engine, counts in telemetry.by_engine.items()]
+    attempts = [
+        (status_report.upstream.name(engine), counts) for engine, counts in telemetry.by_engine.items()
+    ]
     yield from _family(
         "attempts", "counter", "Attempts completed, by engine and outcome; unlisted engines as other.",
         (("_total", {"engine": name, "outcome": OUTCOMES[outcome]}, count)
@@ -79,23 +85,23 @@
     loads = [("taken", telemetry.loads), ("turned_down", telemetry.load_errors)]
     yield from _family("config_loads", "counter", "Configuration files read at SIGHUP, by result.",
                        (("_total", {"result": result}, count) for result, count in loads))  # fmt: skip
-    known, skipped = standing.engines()
+    known, skipped = status_report.engines()
     states = {"known": known, "skipped": skipped} | {key: decisions[key] for key in ("ready", "cold", "used")}
     yield from _family("engines", "gauge", "Engines, by state; an engine can be in several.",
                        (("", {"state": state}, count) for state, count in states.items()))  # fmt: skip
     for name, help_text in GAUGES.items():
         yield from _gauge(name, help_text, decisions[name])
-    if (age := standing.list_age()) is not None:
+    if (age := status_report.list_age()) is not None:
         yield from _gauge("list_age_seconds", "Time since discovery last confirmed the list.", age / SECOND)
     yield from _family(
         "log_lines_lost", "counter", "Log lines that could not be written.",
         [("_total", {}, LogHandler.lost)],
     )  # fmt: skip
     yield from _gauge("in_progress", "Requests accepted and not completed.", telemetry.in_progress)
-    yield from _gauge("connections", "Connections to engines.", standing.upstream.connections)
+    yield from _gauge("connections", "Connections to engines.", status_report.upstream.connections)
     yield from _gauge("body_memory_bytes", "Memory reserved for bodies.", budget.used)
     yield from _gauge("body_memory_limit_bytes", "Limit of the memory reserved for bodies.", budget.max_bytes)
-    yield from _gauge("loop_lag_seconds", "Delay of the last status timer.", standing.lag)
+    yield from _gauge("loop_lag_seconds", "Delay of the last status timer.", status_report.lag)
     yield from _gauge("resident_memory_bytes", "Resident memory.", process["memory_bytes"])
     if (descriptors := open_descriptors()) is not None:
         yield from _gauge("open_descriptors", "Open descriptors.", descriptors)
@@ -104,9 +110,9 @@
     yield from _family("cpu_seconds", "counter", "CPU time used.", [("_total", {}, process["cpu_seconds"])])
 
 
-def _latencies(standing: Standing) -> Iterator[str]:
+def _latencies(status_report: StatusReport) -> Iterator[str]:
     def samples() -> Iterator[tuple[str, dict[str, str], float]]:
-        for name, histogram in standing.telemetry.latency.items():
+        for name, histogram in status_report.telemetry.latency.items():
             below = 0
             for bound, count in zip((*histogram.bounds, None), histogram.counts, strict=True):
                 below += count
--- a/sprucenotch/node/peers.py
+++ b/sprucenotch/node/peers.py
@@ -12,7 +12,7 @@
 from sprucenotch import api
 from sprucenotch.node.config import Address, Config
 from sprucenotch.node.host import Host
-from sprucenotch.node.listener import BIND_TIMEOUT, bind_now
+from sprucenotch.node.listener import BIND_TIMEOUT, bind_once
 from sprucenotch.node.log import event
 from sprucenotch.node.poller import Watch, running_poller
 from sprucenotch.seams.system_errors import retried
@@ -52,10 +52,10 @@
             self._bind_task = asyncio.get_running_loop().create_task(self._bind_once_free(address))
 
     async def _bind(self, address: Address) -> None:
-        self._socket = bind_now(address, kind=socket.SOCK_DGRAM)
+        self._socket = bind_once(address, kind=socket.SOCK_DGRAM)
         self._socket.setblocking(False)
         self._watch = running_poller().watch(self._socket.fileno(), self._receive)
-        self._watch.want(select.EPOLLIN)
+        self._watch.set_events(select.EPOLLIN)
         self._host.tell = self.tell
 
     async def _bind_once_free(self, address: Address) -> None:
--- a/sprucenotch/node/poller.py
+++ b/sprucenotch/node/poller.py
@@ -29,23 +29,23 @@
 class Watch:
     """A watched descriptor; `ready` is called with a mask of EPOLLIN, EPOLLOUT, EPOLLERR and EPOLLHUP."""
 
-    __slots__ = ("_poller", "fd", "ready", "registered", "wanted")
+    __slots__ = ("_poller", "event_mask", "fd", "ready", "registered")
 
     def __init__(self, poller: Poller, fd: int, ready: Callable[[int], None]) -> None:
         self._poller, self.fd, self.ready = poller, fd, ready
-        self.wanted = 0  # the requested mask
+        self.event_mask = 0  # the requested mask
         self.registered = 0  # the mask that the kernel has
 
-    def want(self, events: int) -> None:
+    def set_events(self, events: int) -> None:
         """Set the mask of events to report; with 0 none are reported, not even errors."""
-        if events != self.wanted:
-            self.wanted = events
+        if events != self.event_mask:
+            self.event_mask = events
             self._poller.apply(self)
 
     def end(self) -> None:
         """Stop reporting. The caller closes the descriptor, or watches it anew, right after: closing also
         removes it from the kernel's epoll set."""
-        self.wanted = 0
+        self.event_mask = 0
         self.ready = _ignore  # breaks the reference cycle
         self._poller.forget(self)
 
@@ -95,19 +95,19 @@
             del self._watches[watch.fd]
 
     def _register(self, watch: Watch) -> None:
-        if watch.wanted == watch.registered:
+        if watch.event_mask == watch.registered:
             return
         if not watch.registered:
             try:
-                self._epoll.register(watch.fd, watch.wanted)
+                self._epoll.register(watch.fd, watch.event_mask)
             except FileExistsError:  # registered by an earlier watch of the descriptor
                 watch.registered = UNKNOWN_MASK  # also where the next call fails
-                self._epoll.modify(watch.fd, watch.wanted)
-        elif watch.wanted:
-            self._epoll.modify(watch.fd, watch.wanted)
+                self._epoll.modify(watch.fd, watch.event_mask)
+        elif watch.event_mask:
+            self._epoll.modify(watch.fd, watch.event_mask)
         else:
             self._epoll.unregister(watch.fd)
-        watch.registered = watch.wanted
+        watch.registered = watch.event_mask
 
     def _apply_again(self) -> None:
         self._retry = None
@@ -130,10 +130,10 @@
     def _dispatch(self) -> None:
         for fd, reported in self._poll_ready():
             watch = self._watches.get(fd)  # an earlier callback may have ended it
-            if watch is None or not (wanted := watch.wanted):
+            if watch is None or not (event_mask := watch.event_mask):
                 continue
             try:
-                if ready := reported & (wanted | ALWAYS_REPORTED):
+                if ready := reported & (event_mask | ALWAYS_REPORTED):
                     watch.ready(ready)
             except Exception:  # an error at one descriptor must not affect the others
                 log.exception("fault", extra={"fields": {"handling": "readiness"}})
--- a/sprucenotch/node/pool.py
+++ b/sprucenotch/node/pool.py
@@ -24,6 +24,6 @@
         self.name, self.dial, self.health = host.name, host.dial, host.endpoint.health
         self.location = host.endpoint.zone, host.endpoint.cell
 
-    def takes(self, connection: Connection) -> bool:
+    def accepts(self, connection: Connection) -> bool:
         """Whether a new request may be sent on it: the endpoint is ready and has kept its address."""
         return self.health == Health.READY and connection.dial == self.dial
--- a/sprucenotch/node/rules.py
+++ b/sprucenotch/node/rules.py
@@ -1,9 +1,9 @@
 """Run-time checks of the rules on sending, repeating, closing and starting; counts violations.
 
 Each rule is enforced in one place: `Attempt._write` for sending, `Host._send` for repeating,
-`ClientConnection.shut` for closing, `serve` for accepting clients. The checks here run after the fact, with
-the clock read again, and so also detect a process that was delayed in between or a code path around the
-place that enforces the rule. A count above zero is a defect of the program or of its machine.
+`ClientConnection.close_connection` for closing, `serve` for accepting clients. The checks here run after the
+fact, with the clock read again, and so also detect a process that was delayed in between or a code path
+around the place that enforces the rule. A count above zero is a defect of the program or of its machine.
 """
 
 from __future__ import annotations
--- a/sprucenotch/node/serve.py
+++ b/sprucenotch/node/serve.py
@@ -34,7 +34,7 @@
 ACCEPT_AFTER_STOP = 0.6  # seconds; after SIGTERM new connections still arrive for 0.2 to 0.4 s
 
 log = logging.getLogger(__name__)
-early_signal = threading.Event()  # set by a SIGHUP that arrives before its handler is installed
+early_sighup = threading.Event()  # set by a SIGHUP that arrives before its handler is installed
 
 
 async def serve(config: Config) -> None:
@@ -46,7 +46,7 @@
     time = clock.wrong(wrong_clock.offset_ns, wrong_clock.drift_ppm) if wrong_clock else clock.Clock()
     host = Host(config, loop, time)
     frontend = Frontend(config, host, loop)
-    host.upstream.make_room = frontend.make_room
+    host.upstream.free_descriptor = frontend.free_descriptor
     recovery = None
     if config.state is not None:  # otherwise the package is not imported
         from sprucenotch.recovery.service import Recovery
@@ -60,10 +60,10 @@
         await peers.listen(config.peer_listen)
     if config.mgmt is not None:
         management = Management(
-            lambda: host.standing.ready() if frontend.ready else "",
-            host.standing.figures,
+            lambda: host.status_report.ready() if frontend.ready else "",
+            host.status_report.figures,
             lambda: render_metrics(host),
-            config.callers_most,
+            config.max_management_connections,
         )
         if recovery is not None:
             management.add_call(recovery.path, recovery.handover_record)
@@ -71,29 +71,29 @@
     recovered = None if recovery is None else await recovery.recover()
     if recovered is not None and recovered.hosts is not None:
         config = structs.replace(config, known=recovered.hosts)
-        host.handed = recovered.verified
+        host.list_handed_over = recovered.verified
     if recovery is not None:
         recovery.start_recording(host, lambda: discovery.age)
     host.start(config.known)
     if recovered is not None and recovered.learned is not None:
         host.recall(recovered.learned, recovered.learned_age)
     discovery = Discovery(config, host, loop)
-    host.standing.list_age = lambda: discovery.age
+    host.status_report.list_age = lambda: discovery.age
     discovery.start()
     reload = Reload(config, host, frontend, discovery)
     on_signal(loop, signal.SIGHUP, reload.begin)
     on_signal(loop, signal.SIGUSR1, lambda: toggle_debug(reload.config.log.level))
-    if early_signal.is_set():  # the file may have changed since it was read
+    if early_sighup.is_set():  # the file may have changed since it was read
         reload.begin()
     listener = await bound(config.listen, shared=True)
-    await first_of(stop_requested.wait(), host.until_informed())
+    await first_of(stop_requested.wait(), host.wait_until_may_take_clients())
     if stop_requested.is_set():
         listener.close()
         return
 
     host.rules.started(host.may_take_clients)
     await listening(listener)
-    acceptor = Acceptor(listener, partial(ClientConnection, frontend), frontend.make_room, host.count)
+    acceptor = Acceptor(listener, partial(ClientConnection, frontend), frontend.free_descriptor, host.count)
     frontend.listening = True
     event(log, logging.INFO, "ready")
     await stop_requested.wait()
@@ -146,7 +146,7 @@
 
     The loop's own signal handlers depend on a write to a socket, and a failed write loses the signal. The
     interpreter's handler always runs with the next iteration of the loop, which the status timer causes
-    within STATUS_EVERY.
+    within STATUS_INTERVAL_S.
     """
     signal.signal(number, lambda *_: loop.call_soon_threadsafe(act))
 
@@ -163,15 +163,15 @@
     """Render the metrics. The module is imported on first use, as not every deployment collects them."""
     from sprucenotch.node import metrics
 
-    return metrics.render(host.standing, host.budget)
+    return metrics.render(host.status_report, host.budget)
 
 
 def main() -> int:
     # The default action of SIGHUP would end the process. An early one is remembered and handled after the
     # start.
-    signal.signal(signal.SIGHUP, lambda number, frame: early_signal.set())
+    signal.signal(signal.SIGHUP, lambda number, frame: early_sighup.set())
     try:
-        config = load_at_start()
+        config = load_with_retries()
     except ConfigError as problem:
         print(f"sprucenotch: {problem}", file=sys.stderr)
         return 2
@@ -187,7 +187,7 @@
     return 0
 
 
-def load_at_start() -> Config:
+def load_with_retries() -> Config:
     """Load the configuration, retrying an unreadable file until LOAD_TIMEOUT. Raises ConfigError."""
     give_up_at = monotonic() + LOAD_TIMEOUT
     for pause in pauses():
--- a/sprucenotch/node/standing.py
+++ b/sprucenotch/node/status.py
@@ -16,12 +16,14 @@
 from sprucenotch.policy.balance import Balancer
 from sprucenotch.policy.state import Member
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("sprucenotch.node.standing")
 
 MS = 1_000_000
 SECOND = 1000 * MS
 DISCOVERY_SILENCE = 30 * SECOND  # longer than any watch holds: discovery is down or unreachable
-STATUS_EVERY = 1.0  # seconds between status events; admission cuts and queues change within a few seconds
+STATUS_INTERVAL_S = (
+    1.0  # seconds between status events; admission cuts and queues change within a few seconds
+)
 
 
 def own_memory() -> tuple[int, int]:
@@ -46,7 +48,7 @@
         return None
 
 
-class Standing:
+class StatusReport:
     """Reports the current state of the balancer, the connections and the process."""
 
     def __init__(
--- a/sprucenotch/node/stream.py
+++ b/sprucenotch/node/stream.py
@@ -37,7 +37,7 @@
         self.used -= size
 
 
-def nothing() -> None:
+def no_op() -> None:
     """A callback that does nothing."""
 
 
@@ -57,7 +57,7 @@
     """A body in transfer. It pauses its source while it has no sink or the sink does not keep up."""
 
     def __init__(
-        self, pause: Callable[[bool], None], length: int | None, on_drop: Callable[[], None] = nothing
+        self, pause: Callable[[bool], None], length: int | None, on_drop: Callable[[], None] = no_op
     ) -> None:
         self._pause, self._on_drop = pause, on_drop
         self.length = length  # bytes; None if unknown until the end
--- a/sprucenotch/node/telemetry.py
+++ b/sprucenotch/node/telemetry.py
@@ -57,7 +57,7 @@
         self._last_totals: Counter[str] = Counter()
         self._ok_time = self._ok = 0  # since the last call of mean_ok
 
-    def know(self, classes: Iterable[RequestClass]) -> None:
+    def register_classes(self, classes: Iterable[RequestClass]) -> None:
         """Report these classes, starting at 0.
 
         A class keeps its counts; its latency histogram is reset when the bounds of the buckets change.
@@ -81,7 +81,7 @@
             self._ok += 1
             self._ok_time += took
 
-    def keep_engines(self, listed: Container[EndpointId]) -> None:
+    def set_listed_engines(self, listed: Container[EndpointId]) -> None:
         """Count engines separately while `listed` contains them, and all others in sum."""
         self._listed = listed
         for engine in [engine for engine in self.by_engine if engine not in listed]:
--- a/sprucenotch/node/transport.py
+++ b/sprucenotch/node/transport.py
@@ -119,15 +119,15 @@
         writes_paused = self._failing_write is not None and self._failing_write.pending
         if self._unsent and not writes_paused:
             events |= EPOLLOUT
-        self._watch.want(events)
+        self._watch.set_events(events)
 
     def _ready(self, events: int) -> None:
         if events == EPOLLIN:
             self._read()
             return
-        if events & ~EPOLLOUT and self._watch.wanted & EPOLLIN:
+        if events & ~EPOLLOUT and self._watch.event_mask & EPOLLIN:
             self._read()
-        if self._watch.wanted & EPOLLOUT:
+        if self._watch.event_mask & EPOLLOUT:
             self._send_unsent()
 
     # ---- reading
@@ -361,7 +361,7 @@
             writable.set_result(None)
 
     watch = poller.watch(connecting.fileno(), ready)
-    watch.want(EPOLLOUT)
+    watch.set_events(EPOLLOUT)
     try:
         await writable
     finally:
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -10,7 +10,7 @@
 from sprucenotch.node.config import SECOND, Config, Host
 from sprucenotch.node.connection import Answer, Connection
 from sprucenotch.node.pool import Pool
-from sprucenotch.node.stream import Stream, nothing
+from sprucenotch.node.stream import Stream, no_op
 from sprucenotch.node.transport import connect
 from sprucenotch.seams.system_errors import Shortage, ignore, retried
 
@@ -19,17 +19,17 @@
 # Nanoseconds after which an idle connection left over from a burst is closed. Each open connection takes a
 # part of the endpoint's capacity; a handshake costs as much work as holding a connection for two to six
 # seconds.
-SURPLUS_IDLE = 4 * SECOND
+SURPLUS_IDLE_TIMEOUT_NS = 4 * SECOND
 
 # Nanoseconds for which a connection is not reused after an answer. A faulty engine may answer twice, the
 # second time 1 to 4 ms late. HTTP/1.1 answers carry no request id, so on a connection that is already reused
 # the second answer would be delivered to the client of the next request. The delay applies whatever the
 # duration of the answer: of 8,318 sends on kept connections, 370 came within this time of the previous
-# answer. An attempt waits at most once, for REST and TIMER_EARLY.
-REST = 6_000_000
+# answer. An attempt waits at most once, for REUSE_DELAY_NS and MAX_TIMER_EARLY_S.
+REUSE_DELAY_NS = 6_000_000
 # Seconds by which a timer of the event loop may fire early. The loop counts whole milliseconds: it starts at
 # the millisecond that has begun and rounds the delay to the nearest.
-TIMER_EARLY = 0.0015
+MAX_TIMER_EARLY_S = 0.0015
 
 
 class Upstream:
@@ -44,11 +44,13 @@
     ) -> None:
         self.loop, self.now, self._count = loop, now, count
         self.retune(config)
-        self._max_connections = config.upstream_most
+        self._max_connections = config.max_upstream_connections
         self._open = 0
         self._pools: dict[EndpointId, Pool] = {}
         self._probes: set[Attempt] = set()
-        self.make_room = nothing  # closes the connection of an idle client; set by the owner of the frontend
+        self.free_descriptor = (
+            no_op  # closes the connection of an idle client; set by the owner of the frontend
+        )
 
     def retune(self, config: Config) -> None:
         self._max_idle_ns = int(config.idle_limit * MAX_IDLE_SHARE)
@@ -59,7 +61,7 @@
 
     # ---- the list
 
-    def learn(self, hosts: Iterable[Host], whole: bool) -> None:
+    def update_hosts(self, hosts: Iterable[Host], whole: bool) -> None:
         """Apply a host list (`whole`) or changes to it.
 
         Called before the balancer sees the list, so that a connection being opened already sees a drain.
@@ -108,7 +110,7 @@
         endpoint: EndpointId,
         payload: Callable[[], bytes],
         done: Callable[[int, Answer | None], None],
-        written: Callable[[], None] = nothing,
+        written: Callable[[], None] = no_op,
         purpose: Purpose = ALWAYS_WANTED,
         upload: Stream | None = None,
     ) -> Attempt | None:
@@ -165,7 +167,7 @@
         oldest.idle.pop(0).close()
         return True
 
-    def take(self, pool: Pool) -> Connection | None:
+    def take_idle(self, pool: Pool) -> Connection | None:
         """Take the most recently used idle connection that may be reused and is still usable.
 
         Connections that are too old or unusable are closed. If this returns None, all that remain idle are
@@ -174,7 +176,7 @@
         now, idle = self.now(), pool.idle
         for index in range(len(idle) - 1, -1, -1):
             connection = idle[index]
-            if connection.rests_until > now:
+            if connection.reusable_at > now:
                 continue
             del idle[index]
             if connection.idle_since > now - self._max_idle_ns and connection.usable():
@@ -185,12 +187,13 @@
     def note_reuse_wait(self, pool: Pool) -> None:
         """Record that an attempt waits until an idle connection may be reused.
 
-        If the last such wait was within SURPLUS_IDLE, another connection is worth its handshake. It is opened
-        in the background, one at a time, for later attempts: opening may take longer than the reuse delay.
+        If the last such wait was within SURPLUS_IDLE_TIMEOUT_NS, another connection is worth its handshake.
+        It is opened in the background, one at a time, for later attempts: opening may take longer than the
+        reuse delay.
         """
         now, previous_wait = self.now(), pool.last_wait_at
         pool.last_wait_at = now
-        waited_recently = previous_wait is not None and previous_wait >= now - SURPLUS_IDLE
+        waited_recently = previous_wait is not None and previous_wait >= now - SURPLUS_IDLE_TIMEOUT_NS
         if waited_recently and pool.spare_task is None and self._open < self._max_connections:
             pool.spare_task = self.loop.create_task(self._open_spare(pool))
 
@@ -201,23 +204,25 @@
             return
         finally:
             pool.spare_task = None
-        self.give(pool, connection)
-        connection.rests_until = 0  # no answer yet, so no reuse delay
+        self.release(pool, connection)
+        connection.reusable_at = 0  # no answer yet, so no reuse delay
 
-    def rests(self, pool: Pool) -> float:
+    def reuse_timer_delay(self, pool: Pool) -> float:
         """Seconds until the first idle connection may be reused, as the delay of a timer."""
-        until = min(connection.rests_until for connection in pool.idle)
-        return max(0, until - self.now()) / SECOND + TIMER_EARLY
+        until = min(connection.reusable_at for connection in pool.idle)
+        return max(0, until - self.now()) / SECOND + MAX_TIMER_EARLY_S
 
-    def give(self, pool: Pool, connection: Connection) -> None:
+    def release(self, pool: Pool, connection: Connection) -> None:
         """Return a connection to its pool, or close it if the endpoint no longer takes requests on it."""
-        if pool.takes(connection) and connection.open:  # unread data is reported later, or found by `take`
+        if (
+            pool.accepts(connection) and connection.open
+        ):  # unread data is reported later, or found by `take_idle`
             connection.idle_since = now = self.now()
-            connection.rests_until = now + REST
+            connection.reusable_at = now + REUSE_DELAY_NS
             pool.idle.append(connection)
             # The most recently used is taken first, so surplus connections collect at the start of the list.
             # The one just appended stays.
-            while pool.idle[0].idle_since < now - SURPLUS_IDLE:
+            while pool.idle[0].idle_since < now - SURPLUS_IDLE_TIMEOUT_NS:
                 pool.idle.pop(0).close()
         else:
             connection.close()
@@ -249,7 +254,7 @@
         def on_local_failure(problem: OSError) -> None:
             self._count("connect_failed_here")
             if shortage.lasts(problem):
-                self.make_room()
+                self.free_descriptor()
             failed(problem)
 
         self._open += 1
--- a/sprucenotch/recovery/service.py
+++ b/sprucenotch/recovery/service.py
@@ -104,7 +104,7 @@
 
         `list_age` returns nanoseconds since the list was confirmed to this process, None if it never was.
         """
-        self._learned, self._list_age, host.heard = host.learned, list_age, self._on_list
+        self._learned, self._list_age, host.on_host_list = host.learned, list_age, self._on_list
         if self._disk is not None:
             self._writer = Writer(self._open_store, self._state.sync_ns / SECOND, lambda: moment(self._clock))
             self._writer.start()
--- a/sprucenotch/rig/capacity.py
+++ b/sprucenotch/rig/capacity.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from sprucenotch.node.config import MEMORY_LEAST
+from sprucenotch.node.config import MIN_MEMORY_MB
 from sprucenotch.rig.faults import Restart
 from sprucenotch.rig.plan import Plan, chosen
 from sprucenotch.rig.process import RigError
@@ -63,7 +63,7 @@
 def memory_needed(parts: Parts, limit: int) -> int:
     """Memory of the child processes. `limit` is the memory limit of each sidecar; a limit below the smallest
     that a deployment may set counts as that."""
-    sidecar = max(limit, MEMORY_LEAST * MEGABYTE)
+    sidecar = max(limit, MIN_MEMORY_MB * MEGABYTE)
     return (parts.sidecars + parts.successors) * sidecar + parts.fake_servers * FAKE_SERVER_MEMORY
 
 
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -88,7 +88,7 @@
 
     def planted(self: Exchange, answer: Answer) -> None:
         if is_faulty_call():
-            self.say(200, b"made up")
+            self.answer_with_text(200, b"made up")
         else:
             serve(self, answer)
 
--- a/tests/planted_hunt.py
+++ b/tests/planted_hunt.py
@@ -71,17 +71,17 @@
     """SIGHUP during startup ends the process."""
     import signal
 
-    load = serve.load_at_start
+    load = serve.load_with_retries
 
     def planted() -> Any:
         signal.signal(signal.SIGHUP, signal.SIG_DFL)
         return load()
 
-    serve.load_at_start = planted
+    serve.load_with_retries = planted
 
 
 def ignore_drain_while_connecting() -> None:
-    Pool.takes = lambda self, connection: connection.dial == self.dial  # type: ignore[method-assign]
+    Pool.accepts = lambda self, connection: connection.dial == self.dial  # type: ignore[method-assign]
 
 
 def delay_first_discovery_call() -> None:
@@ -89,13 +89,13 @@
 
 
 def serve_before_discovery_answered() -> None:
-    Host.informed = property(lambda self: self.listed)  # type: ignore[assignment]
+    Host.informed = property(lambda self: self.has_endpoints)  # type: ignore[assignment]
 
     async def planted(self: Host) -> None:
-        while not self.listed:
+        while not self.has_endpoints:
             await asyncio.sleep(0.01)
 
-    Host.until_informed = planted  # type: ignore[method-assign]
+    Host.wait_until_may_take_clients = planted  # type: ignore[method-assign]
 
 
 def accept_older_lists() -> None:
@@ -105,7 +105,7 @@
 def send_for_clients_that_left() -> None:
     ClientConnection.connected = lambda self: True  # type: ignore[method-assign]
     ClientConnection.eof_received = lambda self: True  # type: ignore[method-assign, assignment]
-    Host.gone = lambda self, rid: None  # type: ignore[method-assign]
+    Host.client_gone = lambda self, rid: None  # type: ignore[method-assign]
 
 
 def send_full_deadline() -> None:
@@ -143,8 +143,8 @@
     """An attempt never sent completely counts as a timeout, which may have run."""
 
     def planted(self: attempt.Attempt, outcome: int) -> None:
-        if self._rest is not None:
-            self._rest.cancel()
+        if self._reuse_timer is not None:
+            self._reuse_timer.cancel()
         if self._connect is not None:
             self._connect.cancel()
         if self._connection is not None:
@@ -155,12 +155,12 @@
 
 
 def reuse_connections_immediately() -> None:
-    upstream.REST = 0
+    upstream.REUSE_DELAY_NS = 0
 
 
 def close_with_pipelined_requests_pending() -> None:
     """A stopping sidecar closes a connection after the first answer, in spite of pipelined requests."""
-    ClientConnection._nothing_after = lambda self, exchange: True  # type: ignore[method-assign]
+    ClientConnection._is_last_request = lambda self, exchange: True  # type: ignore[method-assign]
 
 
 def exit_immediately() -> None:
@@ -184,7 +184,7 @@
 
 def ignore_kill_deadline() -> None:
     """Requests that arrive late after SIGTERM keep their whole deadline."""
-    Host._expiry = lambda self, now, deadline: now + deadline - 10_000_000  # type: ignore[method-assign]
+    Host._answer_deadline = lambda self, now, deadline: now + deadline - 10_000_000  # type: ignore[method-assign]
 
 
 def give_up_discovery() -> None:
--- a/tests/sidecar.py
+++ b/tests/sidecar.py
@@ -198,7 +198,7 @@
 def accepting(node: Sidecar, listener: socket.socket) -> Acceptor:
     """Return an acceptor of client connections for that sidecar, set up as in the program."""
     frontend = node.frontend
-    return Acceptor(listener, partial(ClientConnection, frontend), frontend.make_room, node.host.count)
+    return Acceptor(listener, partial(ClientConnection, frontend), frontend.free_descriptor, node.host.count)
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -49,7 +49,12 @@
 
     def total_share(self) -> int:
         told = self.told
-        return told.clients_most + told.upstream_most + told.callers_most + config.OWN_SOCKETS
+        return (
+            told.max_clients
+            + told.max_upstream_connections
+            + told.max_management_connections
+            + config.OWN_DESCRIPTORS
+        )
 
     def allow(self, descriptors: int) -> None:
         resource.prlimit(self.child.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
@@ -136,7 +141,7 @@
             while len(hung.seen) < discovery.MAX_OVERDUE + 3:
                 max_descriptors = max(max_descriptors, program.descriptors())
                 await asyncio.sleep(0.001)
-            assert config.OWN_SOCKETS // 2 < max_descriptors <= config.OWN_SOCKETS - BRIEFLY_OPEN
+            assert config.OWN_DESCRIPTORS // 2 < max_descriptors <= config.OWN_DESCRIPTORS - BRIEFLY_OPEN
 
     run(test())
 
@@ -169,14 +174,14 @@
             listen = f"{told.listen[0]}:{told.listen[1]}"
             assert (await (await connected(listen)).ask(UP))[0] == 200
             program.allow(program.total_share())
-            await send_pending_requests(served, out, listen, told.upstream_most)
+            await send_pending_requests(served, out, listen, told.max_upstream_connections)
             crowd, callers = Crowd(told.listen), Crowd(told.mgmt or told.listen)
             # Stopped and continued, the program finds all of them in a single loop iteration.
             program.child.send_signal(signal.SIGSTOP)
-            crowd.open(told.clients_most)
-            callers.open(2 * told.callers_most)
+            crowd.open(told.max_clients)
+            callers.open(2 * told.max_management_connections)
             program.child.send_signal(signal.SIGCONT)
-            full = program.total_share() - config.OWN_SOCKETS
+            full = program.total_share() - config.OWN_DESCRIPTORS
             await program.until(lambda: program.descriptors() >= full)
 
             asked = asyncio.Event()
@@ -195,7 +200,7 @@
             # All engine connections are in use, so the request is refused unsent.
             assert (await client.ask(request()))[0] == 503
             go_on.set()
-            assert [(await held.answer())[0] for held in out] == [200] * told.upstream_most
+            assert [(await held.answer())[0] for held in out] == [200] * told.max_upstream_connections
             crowd.open_again()
             # The balancer may refuse for a while, as it saw no answers.
             while (await (await connected(listen)).ask(request()))[0] == 503:
--- a/tests/test_failing_files.py
+++ b/tests/test_failing_files.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from sprucenotch.node import standing
+from sprucenotch.node import status
 from sprucenotch.node.log import LogHandler
 from sprucenotch.seams import clock
 from tests.sidecar import always_ok, dead_dial, endpoint, request, run, sidecar
@@ -41,7 +41,7 @@
 
 
 def test_own_memory_falls_back_to_peak_when_file_cannot_be_opened(no_files: list[str]) -> None:
-    resident, own = standing.own_memory()
+    resident, own = status.own_memory()
     assert no_files and 1_000_000 < own <= resident
 
 
@@ -121,7 +121,7 @@
             for _ in range(3):
                 assert (await client.ask(request()))[0] == 200
             [connection] = node.frontend._connections
-            assert not connection.left and connection.connected()
+            assert not connection.used_and_idle and connection.connected()
             assert served.connections >= 3  # possibly one more, opened in the background
 
     run(test())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -48,17 +48,17 @@
 
 
 class LateConnections:
-    """Delays the result of connecting to an endpoint until `let` is set; `coming` is set once it is up."""
+    """Delays the result of connecting until `release` is set; `coming` is set once it is up."""
 
     def __init__(self, node: Sidecar) -> None:
-        self.coming, self.let = asyncio.Event(), asyncio.Event()
+        self.coming, self.release = asyncio.Event(), asyncio.Event()
         self._connect = node.host.upstream.connect
         node.host.upstream.connect = self.connect  # type: ignore[method-assign]
 
     async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore) -> Connection:
         connection = await self._connect(pool, failed)
         self.coming.set()
-        await self.let.wait()
+        await self.release.wait()
         return connection
 
 
@@ -94,7 +94,7 @@
             await connections.coming.wait()
             await leave(client)  # type: ignore[operator]
             await node.event(gone)
-            connections.let.set()
+            connections.release.set()
             outcome = await node.event(completed)
             assert (outcome.outcome, outcome.over) == (Outcome.MOOT, True) and served.seen == []
             other = await node.client()
@@ -114,7 +114,7 @@
             await connections.coming.wait()
             [one] = node.host._open.values()
             one.expires_at = node.host.now()
-            connections.let.set()
+            connections.release.set()
             assert (await node.event(completed)).outcome == Outcome.MOOT
             assert (await client.answer())[0] == 503 and served.seen == []
 
@@ -186,7 +186,7 @@
             await leave(client)  # type: ignore[operator]
             await node.event(gone, MAX_PIPELINED_REQUESTS)
             assert frontend.DISCONNECT_CHECK_INTERVAL <= 0.1  # bounds how long resources are kept
-            connections.let.set()
+            connections.release.set()
             while node.host._open:
                 await asyncio.sleep(0)
             assert served.seen == []
@@ -234,7 +234,7 @@
             await leave(client)  # type: ignore[operator]
             await wait_until_kernel_sees_end(connection)
             assert not any(gone(event) for event in node.events)
-            connections.let.set()
+            connections.release.set()
             while node.host._open:
                 await asyncio.sleep(0)
             assert served.seen == [] and node.host.telemetry.upstream_tries == 0
@@ -297,7 +297,7 @@
             connection = await wait_until_reading_paused(node)
             await leave(client)  # type: ignore[operator]
             await wait_until_kernel_sees_end(connection)
-            connections.let.set()
+            connections.release.set()
             outcome = await node.event(completed)
             assert (outcome.outcome, outcome.over) == (Outcome.MOOT, True)
             assert served.seen == [] and node.host.budget.used == 0
@@ -315,7 +315,7 @@
             assert (await other.ask(request()))[0] == 200
             [pool] = node.host.upstream._pools.values()
             [kept] = pool.idle
-            kept.rests_until = 0
+            kept.reusable_at = 0
             with socket.create_connection(("127.0.0.1", node.port)) as client:  # the loop is blocked here
                 client.sendall(request())
             await node.event(gone)
@@ -334,7 +334,7 @@
             await connections.coming.wait()
             moved = {"seq": 2, "whole": False, "hosts": [entry("s-0", new.dial)]}
             node.host.learn(config.host_list(moved, node.config.names), api.ListKind.DELTA)
-            connections.let.set()
+            connections.release.set()
             assert (await node.event(completed)).outcome == Outcome.CONNECT_FAILED
             assert (await client.answer())[0] == 503 and old.seen == []
             client.writer.write(request())
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -66,9 +66,9 @@
 @contextlib.asynccontextmanager
 async def managed(node: Sidecar) -> AsyncIterator[Operators]:
     management = Management(
-        lambda: node.host.standing.ready() if node.frontend.ready else "",
-        node.host.standing.figures,
-        lambda: metrics.render(node.host.standing, node.host.budget),
+        lambda: node.host.status_report.ready() if node.frontend.ready else "",
+        node.host.status_report.figures,
+        lambda: metrics.render(node.host.status_report, node.host.budget),
         MAX_CALLERS,
     )
     listener = await listening(await bound(("127.0.0.1", 0)))
@@ -89,7 +89,7 @@
             node.frontend.listening = True
             assert await operators.get("/api/ready") == (200, b"ready\n")
             assert b"list_age_seconds" not in (await operators.get("/metrics"))[1]
-            node.host.standing.list_age = lambda: 42 * 10**9
+            node.host.status_report.list_age = lambda: 42 * 10**9
             silent = await operators.get("/api/ready")
             assert silent == (200, b"ready, discovery has said nothing for 42 s\n")
             assert b"sprucenotch_list_age_seconds 42.0" in (await operators.get("/metrics"))[1]
@@ -191,7 +191,7 @@
             node.host.learn(config.host_list(hosts, node.config.names), api.ListKind.FULL)
             node.host._probe(api.Probe(config.endpoint_id("s-1")))
             await node.event(lambda e: isinstance(e, api.Probed))
-            assert node.host.standing.figures()["upstream_tries"] == 0
+            assert node.host.status_report.figures()["upstream_tries"] == 0
 
     run(test())
 
@@ -202,12 +202,12 @@
             client = await node.client()
             client.writer.write(request(deadline="1"))
             await served.arrived.wait()
-            assert node.host.standing.figures()["in_progress"] == 1
+            assert node.host.status_report.figures()["in_progress"] == 1
             client.writer.close()
             await node.event(lambda e: isinstance(e, api.Gone))
-            assert node.host.standing.figures()["in_progress"] == 0
+            assert node.host.status_report.figures()["in_progress"] == 0
             await node.event(lambda e: isinstance(e, api.Completed))  # its attempt ends at the deadline
-            assert node.host.standing.figures()["in_progress"] == 0
+            assert node.host.status_report.figures()["in_progress"] == 0
 
     run(test())
 
@@ -220,7 +220,7 @@
             balancer = node.host._balancer
             balancer.engines.members[config.endpoint_id("s-0")].ejected_until = node.host.now() + 10**12
             balancer.engines.choose_subset(node.host.now())
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert (figures["known_quote_engines"], figures["skipped_quote_engines"]) == (4, 2)
 
     run(test())
@@ -277,12 +277,12 @@
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (4096, 4096))
     parsed = config.parse(configuration(limits={"sockets": 4096}))
-    assert parsed.upstream_most >= 1024 and parsed.clients_most >= 1024
+    assert parsed.max_upstream_connections >= 1024 and parsed.max_clients >= 1024
 
 
 def test_descriptors_suffice_for_two_processes_during_hand_over() -> None:
     for sockets in (256, 384, 1024, 4096):
         parsed = config.parse(configuration(limits={"sockets": sockets}) | {"settings": SETTINGS})
-        apart = parsed.upstream_most + parsed.callers_most + config.OWN_SOCKETS
-        assert parsed.clients_most + 2 * apart <= parsed.sockets
-        assert parsed.upstream_most >= parsed.sockets // 6
+        apart = parsed.max_upstream_connections + parsed.max_management_connections + config.OWN_DESCRIPTORS
+        assert parsed.max_clients + 2 * apart <= parsed.sockets
+        assert parsed.max_upstream_connections >= parsed.sockets // 6
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,7 +21,7 @@
 from sprucenotch.node.frontend import MAX_PIPELINED_REQUESTS, ClientConnection
 from sprucenotch.node.peers import Peers
 from sprucenotch.node.transport import connect
-from sprucenotch.node.upstream import SURPLUS_IDLE, Upstream, parse_report
+from sprucenotch.node.upstream import SURPLUS_IDLE_TIMEOUT_NS, Upstream, parse_report
 from tests.sidecar import (
     SETTINGS,
     WAIT,
@@ -64,7 +64,7 @@
 
 def test_connections_are_kept_alive_on_both_sides(monkeypatch: pytest.MonkeyPatch) -> None:
     # httptools reports keep-alive only inside its callback; read later, each request needed a handshake.
-    monkeypatch.setattr(upstream, "REST", 0)  # no second connection is opened while the first rests
+    monkeypatch.setattr(upstream, "REUSE_DELAY_NS", 0)  # no second connection is opened while the first rests
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -400,21 +400,21 @@
             now = [SECOND]
             told = config.parse(configuration(served.dial))
             upstream = Upstream(told, asyncio.get_running_loop(), lambda: now[0], lambda name: None)
-            upstream.learn(told.known.hosts, whole=True)
+            upstream.update_hosts(told.known.hosts, whole=True)
             [pool] = upstream._pools.values()
             burst = [await upstream.connect(pool) for _ in range(3)]
             for connection in burst:
-                upstream.give(pool, connection)
-            now[0] += SURPLUS_IDLE // 2
-            assert upstream.take(pool) is burst[2]
-            upstream.give(pool, burst[2])
+                upstream.release(pool, connection)
+            now[0] += SURPLUS_IDLE_TIMEOUT_NS // 2
+            assert upstream.take_idle(pool) is burst[2]
+            upstream.release(pool, burst[2])
             assert pool.idle == burst
-            now[0] += SURPLUS_IDLE
-            assert upstream.take(pool) is burst[2]
-            upstream.give(pool, burst[2])
+            now[0] += SURPLUS_IDLE_TIMEOUT_NS
+            assert upstream.take_idle(pool) is burst[2]
+            upstream.release(pool, burst[2])
             assert pool.idle == [burst[2]] and not burst[0].usable()
             now[0] += told.idle_limit  # the endpoint may close it at any moment: must not be used
-            assert upstream.take(pool) is None
+            assert upstream.take_idle(pool) is None
 
     run(test())
 
@@ -437,7 +437,7 @@
             told = config.parse(configuration(served.dial))
             loop = asyncio.get_running_loop()
             made = Upstream(told, loop, lambda: SECOND, lambda name: None)
-            made.learn(told.known.hosts, whole=True)
+            made.update_hosts(told.known.hosts, whole=True)
             [pool] = made._pools.values()
             connection = await made.connect(pool)
             assert made._open == 0 and not connection.usable()
@@ -599,7 +599,9 @@
 def test_watch_continues_from_the_known_version_after_every_kind_of_failure(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery, "HOLD_GRACE_PUSHED", WAIT)  # no answer counts as late on a slow machine
+    monkeypatch.setattr(
+        discovery, "AGENT_HOLD_TIMEOUT_MARGIN", WAIT
+    )  # no answer counts as late on a slow machine
     added, drained = entry("s-1", "127.0.0.1:9"), entry("s-1", "127.0.0.1:9", "draining")
     script, calls = discovery_script(
         None, status(503), ok(b"no JSON"), ok(b"[]"), ok(b'{"seq":1,"hosts":[7]}'),
@@ -648,7 +650,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # No status event resets the counts during the test.
-    monkeypatch.setattr("sprucenotch.node.host.STATUS_EVERY", 3600.0)
+    monkeypatch.setattr("sprucenotch.node.host.STATUS_INTERVAL_S", 3600.0)
 
     async def failing(seen: Seen) -> bytes:
         return status(503)
@@ -751,7 +753,7 @@
             node.discovery.watch(True)
             await old.arrived.wait()
             host, _, port = new.dial.rpartition(":")
-            node.discovery.move((host, int(port)))
+            node.discovery.change_address((host, int(port)))
             await new.arrived.wait()
             await old.seen[0].left.wait()
             assert new.seen[0].line == old.seen[0].line
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -25,7 +25,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The duplicate arrives after the next request has been assigned to the same endpoint."""
-    monkeypatch.setattr(upstream, "REST", 200_000_000)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_NS", 200_000_000)
 
     async def test() -> None:
         decided = asyncio.Event()
@@ -86,7 +86,7 @@
             client = await node.client()
             whole = request("post", body=b"body")
             client.writer.write(whole[:-2])
-            while not any(c._headed for c in node.frontend._connections):
+            while not any(c._head_received for c in node.frontend._connections):
                 await asyncio.sleep(0)
             swap(node, served.dial)
             assert (await client.ask(whole[-2:]))[0] == 405 and served.seen == []
@@ -138,7 +138,7 @@
             client = await node.client()
             client.writer.write(request("post", deadline="0.1"))
             assert (await client.answer())[0] == 503
-            connections.let.set()
+            connections.release.set()
             assert (await node.event(completed)).outcome == Outcome.CONNECT_FAILED and served.seen == []
 
     run(test())
@@ -159,7 +159,7 @@
 
     async def test() -> None:
         async def breaks(seen: Seen) -> None:
-            connections.let.clear()  # the next attempt's connection comes up once `let` is set
+            connections.release.clear()  # the next attempt's connection comes up once `release` is set
             return None
 
         async with (
@@ -168,7 +168,7 @@
             sidecar(one.dial, other.dial, settings=KEYED) as node,
         ):
             connections = LateConnections(node)
-            connections.let.set()
+            connections.release.set()
             client = await node.client()
             client.writer.write(request("post", extra=b"Idempotency-Key: k\r\n"))
             await node.event(completed)
@@ -177,7 +177,7 @@
             if late:
                 past = node.host.now() + 4_000_000_000
                 node.host.upstream.now = lambda: past
-            connections.let.set()
+            connections.release.set()
             assert (await client.answer())[0] == 502
             assert len(one.seen) + len(other.seen) == 2 - late
 
@@ -214,7 +214,7 @@
             node.host._balancer.handle = watched  # type: ignore[method-assign]
             client = await node.client()
             client.writer.write(request())
-            while not any(one.attempt and one.attempt._whole for one in node.host._open.values()):
+            while not any(one.attempt and one.attempt._fully_sent for one in node.host._open.values()):
                 await asyncio.sleep(0)
             [asked] = node.host._open.values()
             assert asked.attempt is not None and asked.attempt._connection is not None
--- a/tests/test_rest_timer.py
+++ b/tests/test_rest_timer.py
@@ -14,7 +14,7 @@
 from sprucenotch.node import config, upstream
 from sprucenotch.node.connection import Connection
 from sprucenotch.node.pool import Pool
-from sprucenotch.node.upstream import REST, SURPLUS_IDLE, Upstream
+from sprucenotch.node.upstream import REUSE_DELAY_NS, SURPLUS_IDLE_TIMEOUT_NS, Upstream
 from sprucenotch.policy.state import HOUR
 from tests.helpers import MS, SECOND
 from tests.sidecar import always_ok, configuration, endpoint, request, run, sidecar
@@ -22,17 +22,17 @@
 CONFIG = config.parse(configuration("127.0.0.1:9"))
 
 
-@given(st.integers(0, 10**6 * SECOND), st.integers(0, REST))
+@given(st.integers(0, 10**6 * SECOND), st.integers(0, REUSE_DELAY_NS))
 def test_timer_never_fires_within_reuse_delay(now: int, left: int) -> None:
     """With an early timer, an attempt could not reuse the connection yet and would open another one."""
     servers = Upstream(CONFIG, Mock(), lambda: now, Mock())
     pool, connection = Pool(CONFIG.known.hosts[0]), Connection()
-    connection.rests_until = now + left
+    connection.reusable_at = now + left
     pool.idle.append(connection)
-    delay = servers.rests(pool)
+    delay = servers.reuse_timer_delay(pool)
     # The loop counts from the millisecond that has begun and rounds the delay to the nearest.
     due = math.floor(now / MS) + round(delay * 1000)
-    assert due * MS >= connection.rests_until
+    assert due * MS >= connection.reusable_at
 
 
 class Waits:
@@ -57,7 +57,11 @@
 
 def test_frequent_waits_open_another_connection_one_at_a_time() -> None:
     waits = Waits()
-    assert [waits.wait(0), waits.wait(SURPLUS_IDLE + 1), waits.wait(SURPLUS_IDLE)] == [0, 0, 1]
+    assert [waits.wait(0), waits.wait(SURPLUS_IDLE_TIMEOUT_NS + 1), waits.wait(SURPLUS_IDLE_TIMEOUT_NS)] == [
+        0,
+        0,
+        1,
+    ]
     assert waits.wait(1) == 1  # one is already being opened
     waits.pool.spare_task = None
     assert waits.wait(1) == 2
@@ -65,7 +69,7 @@
 
 def test_no_connection_is_opened_at_the_limit() -> None:
     waits = Waits()
-    waits.servers._open = CONFIG.upstream_most
+    waits.servers._open = CONFIG.max_upstream_connections
     assert [waits.wait(0), waits.wait(1)] == [0, 0]
 
 
@@ -74,7 +78,7 @@
     up: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The wait of the first request does not depend on whether the other connection can be opened."""
-    monkeypatch.setattr(upstream, "REST", 50 * MS)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_NS", 50 * MS)
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -98,7 +102,7 @@
             coming.set()
             await asyncio.wait((opening,))
             assert pool.spare_task is None and len(pool.idle) == 1 + up
-            pool.idle[0].rests_until = node.host.now() + HOUR
+            pool.idle[0].reusable_at = node.host.now() + HOUR
             if up:
                 assert (await client.ask(request()))[0] == 200
             assert served.connections == 1 + up
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -172,12 +172,12 @@
             reload = Reload(node.config, node.host, node.frontend, node.discovery)
             file.write_text(broken if isinstance(broken, str) else json.dumps(broken))
             reload.begin()
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert (figures["loads"], figures["load_errors"]) == (0, 1)
             assert reload.config is node.config and not any(isinstance(e, api.Retuned) for e in node.events)
             file.write_text(json.dumps(configuration("127.0.0.1:9")))
             reload.begin()
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert (figures["loads"], figures["load_errors"]) == (1, 1)
 
     run(test())
@@ -189,7 +189,7 @@
     async def test() -> None:
         async with sidecar("127.0.0.1:9") as node:
             Reload(node.config, node.host, node.frontend, node.discovery).begin()
-            assert node.host.standing.figures()["load_errors"] == 1
+            assert node.host.status_report.figures()["load_errors"] == 1
 
     run(test())
 
@@ -233,7 +233,7 @@
             await served.arrived.wait()
             whole = request("read", body=b"body")
             half.writer.write(whole[:-2])
-            while not any(c._headed for c in node.frontend._connections):
+            while not any(c._head_received for c in node.frontend._connections):
                 await asyncio.sleep(0.01)
             swap(node, served.dial)
             go_on.set()
@@ -243,7 +243,7 @@
             assert (await coming.ask(fresh))[2] == b"fresh"
             assert (await coming.ask(request("read")))[0] == 400
             assert (await coming.ask(request("post")))[0] == 405  # safe to retry now, so it must be a GET
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert figures["passed"] == {"read": 1, "post": 0, "fresh": 1}
 
     run(test())
@@ -289,6 +289,6 @@
             node.frontend.retune(new_config)
             node.host.retune(new_config)
             assert (await client.ask(raw[50_000:]))[0] == 503
-            assert node.host.standing.figures()["dropped"] == {"read": 0, "post": 1, "fresh": 0}
+            assert node.host.status_report.figures()["dropped"] == {"read": 0, "post": 1, "fresh": 0}
 
     run(test())
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -62,7 +62,7 @@
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
             client = await client_with_half_request(node)
-            node.frontend.make_room()
+            node.frontend.free_descriptor()
             await asyncio.sleep(0)
             assert await completes_request(client)
 
@@ -92,10 +92,10 @@
             while not node.frontend._connections:
                 await asyncio.sleep(0)
             [taken] = node.frontend._connections
-            node.frontend.make_room()
+            node.frontend.free_descriptor()
             assert not taken.closing
             taken._accepted_at -= MIN_UNUSED_AGE
-            node.frontend.make_room()
+            node.frontend.free_descriptor()
             assert await client.ended()
 
     run(test())
@@ -106,7 +106,7 @@
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
-            node.host.upstream.make_room = node.frontend.make_room
+            node.host.upstream.free_descriptor = node.frontend.free_descriptor
             idle = await node.client()
             assert (await idle.ask(request()))[0] == 200
             served.close_all()
--- a/tests/test_run_time_rules.py
+++ b/tests/test_run_time_rules.py
@@ -34,7 +34,7 @@
     monkeypatch.setattr(
         "sprucenotch.node.rules.event", lambda log, level, name, **fields: events.append(fields)
     )
-    monkeypatch.setattr(Pool, "takes", lambda self, connection: True)
+    monkeypatch.setattr(Pool, "accepts", lambda self, connection: True)
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -42,14 +42,14 @@
 
             def drains_first(self: Attempt) -> None:
                 hosts = {"seq": 2, "whole": False, "hosts": [entry("s-0", served.dial, "draining")]}
-                node.host.upstream.learn(config.host_list(hosts, node.config.names).hosts, whole=False)
+                node.host.upstream.update_hosts(config.host_list(hosts, node.config.names).hosts, whole=False)
                 original(self)
 
             monkeypatch.setattr(Attempt, "start", drains_first)
             client = await node.client()
             assert (await client.ask(request()))[0] == 200
             assert node.host.telemetry.violations[Rule.SENT_WITHDRAWN] == 1
-            text = metrics.render(node.host.standing, node.host.budget)
+            text = metrics.render(node.host.status_report, node.host.budget)
             assert b'rule_violations_total{rule="sent to a server that drains or is gone"} 1' in text
 
     run(test())
@@ -110,7 +110,7 @@
             client.writer.write(request())
             await served.arrived.wait()
             [connection] = node.frontend._connections
-            connection.shut(CloseReason.ROOM)
+            connection.close_connection(CloseReason.ROOM)
             assert node.host.telemetry.violations[Rule.CLOSED_OWED] == 1
 
     run(test())
@@ -165,7 +165,7 @@
                 raise TimeoutError
 
             monkeypatch.setattr("sprucenotch.node.host.asyncio.wait_for", early)
-            await node.host.until_informed()
+            await node.host.wait_until_may_take_clients()
             assert waits == 2 and node.host.may_take_clients
 
     run(test())
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -95,7 +95,7 @@
     while node.host._open:
         await asyncio.sleep(0.01)
     assert node.host.budget.used == 0
-    assert node.host.standing.figures()["in_progress"] == 0
+    assert node.host.status_report.figures()["in_progress"] == 0
 
 
 @pytest.mark.parametrize(
@@ -132,7 +132,7 @@
                 headers = await head_of(client.reader)
                 assert await body_of(client.reader, headers) == expected
             await wait_until_released(node)
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert figures["passed"]["post"] == figures["upstream_tries"] == 2
 
     run(test())
@@ -270,8 +270,8 @@
                     else:
                         await body_of(client.reader, headers)
             await wait_until_released(node)
-            assert node.host.standing.figures()["bad_gateway"]["read"] == 1
-            assert node.host.standing.figures()["passed"]["read"] == 0
+            assert node.host.status_report.figures()["bad_gateway"]["read"] == 1
+            assert node.host.status_report.figures()["passed"]["read"] == 0
 
     run(test())
 
@@ -295,8 +295,8 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await body_of(client.reader, headers)
             await wait_until_released(node)
-            assert node.host.standing.figures()["passed"]["read"] == 0
-            assert node.host.standing.figures()["bad_gateway"]["read"] == 1
+            assert node.host.status_report.figures()["passed"]["read"] == 0
+            assert node.host.status_report.figures()["bad_gateway"]["read"] == 1
 
     run(test())
 
@@ -405,7 +405,7 @@
             client.writer.write(LONG[200_000:])
             assert (await client.ask(request("odd")))[0] == 400
             await wait_until_released(node)
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert figures["upstream_tries"] == 0 and figures["dropped"]["post"] == 1
 
     run(test())
@@ -480,7 +480,7 @@
             assert (await first.answer())[0] == 200
             await wait_until_released(node)
             assert (await second.ask(request()))[0] == 200
-            assert len(served.seen) == 2 and node.host.standing.figures()["dropped"]["read"] == 1
+            assert len(served.seen) == 2 and node.host.status_report.figures()["dropped"]["read"] == 1
 
     run(test())
 
@@ -512,8 +512,8 @@
 def test_body_memory_limit_allows_for_a_second_process() -> None:
     told = config.parse(configuration(limits={"memory_mb": 80}))
     own = 15_000_000
-    assert 2 * (own + told.bodies_most(own)) < told.memory
-    assert config.parse(configuration(limits={})).memory == config.MEMORY_LEAST * 1_000_000
+    assert 2 * (own + told.max_body_bytes(own)) < told.memory
+    assert config.parse(configuration(limits={})).memory == config.MIN_MEMORY_MB * 1_000_000
 
 
 class RecordingSink:
@@ -622,7 +622,7 @@
     def __init__(self) -> None:
         self.budget = Budget(10**8)
         self.rules = Rules(Telemetry())
-        self.listed = self.informed = self.answers = True
+        self.has_endpoints = self.informed = self.answers = True
         self.received: list[tuple[bytes, bytes]] = []  # method and body of each
         self.abandoned_ids: list[int] = []
         self._ids = 0
@@ -649,7 +649,7 @@
 
     def count(self, name: str) -> None: ...
 
-    def gone(self, rid: int) -> None:
+    def client_gone(self, rid: int) -> None:
         self.abandoned_ids.append(rid)
 
     def finish_request(self, rid: int, broken: bool = False) -> None: ...
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -18,7 +18,7 @@
 
 def scrape(node: Sidecar) -> dict[str, float]:
     """Return the samples by name and labels, as read by the reference parser."""
-    text = metrics.render(node.host.standing, node.host.budget).decode()
+    text = metrics.render(node.host.status_report, node.host.budget).decode()
     return {
         " ".join((sample.name, *sample.labels.values())): sample.value
         for family in text_string_to_metric_families(text)  # type: ignore[no-untyped-call]
@@ -35,7 +35,7 @@
             client = await node.client()
             for _ in range(20):
                 await client.ask(request())
-            samples, figures = scrape(node), node.host.standing.figures()
+            samples, figures = scrape(node), node.host.status_report.figures()
         for outcome, key in (("served", "passed"), ("refused", "dropped"), ("failed", "bad_gateway")):
             assert samples[f"sprucenotch_requests_total read {outcome}"] == figures[key]["read"]
         assert samples["sprucenotch_upstream_tries_total"] == figures["upstream_tries"]
@@ -52,7 +52,7 @@
     async def test() -> None:
         async with sidecar("127.0.0.1:9") as node:
             odd = 'a "b"\\c\nd'
-            node.host.telemetry.know([api.RequestClass(odd, 1000, 2000, 1.0)])
+            node.host.telemetry.register_classes([api.RequestClass(odd, 1000, 2000, 1.0)])
             assert scrape(node)[f"sprucenotch_requests_total {odd} served"] == 0
 
     run(test())
@@ -68,13 +68,13 @@
 def test_listed_engines_are_counted_separately_and_no_attempt_is_lost() -> None:
     telemetry, listed = Telemetry(), {number.to_bytes(8, "big") for number in range(2048)}
     first, unlisted = (0).to_bytes(8, "big"), (2048).to_bytes(8, "big")
-    telemetry.keep_engines(listed)
+    telemetry.set_listed_engines(listed)
     for engine in listed:
         telemetry.attempt_ended(engine, api.Outcome.OK, 5)
     assert telemetry.by_engine.keys() == listed and not sum(telemetry.other_engines)
     telemetry.attempt_ended(unlisted, api.Outcome.OK, 5)  # counted in sum, so the memory is bounded
     assert telemetry.by_engine.keys() == listed and sum(telemetry.other_engines) == 1
-    telemetry.keep_engines({first})
+    telemetry.set_listed_engines({first})
     counted = sum(map(sum, telemetry.by_engine.values())) + sum(telemetry.other_engines)
     assert (len(telemetry.by_engine), counted, telemetry.mean_ok()) == (1, 2049, 5)
 
@@ -119,7 +119,7 @@
 
 def test_access_log_samples_evenly_at_its_rate() -> None:
     access, second = log.AccessLog(4), 10**9
-    logged = [now for now in range(0, 3 * second, second // 100) if access.wants(now)]
+    logged = [now for now in range(0, 3 * second, second // 100) if access.should_log(now)]
     assert logged == list(range(0, 3 * second, second // 4))
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -259,7 +259,7 @@
         ):
             node.discovery.watch(True)
             await node.event(failed)
-            node.discovery.move(config.address(new.dial))
+            node.discovery.change_address(config.address(new.dial))
             await new.arrived.wait()
             assert len(old.seen) == 1
 
@@ -290,7 +290,7 @@
             await connections.coming.wait()
             asked.set()
             await node.event(lambda e: getattr(e, "kind", None) == api.ListKind.DELTA)
-            connections.let.set()
+            connections.release.set()
             assert (await client.answer())[0] == 503 and served.seen == []
             assert (await wait_for_calls(service, 1))[0] == "from=1&hold_ms=0"
 
--- a/tests/test_whole_list.py
+++ b/tests/test_whole_list.py
@@ -37,7 +37,7 @@
             learn_whole_list(node, 2)
             if back:
                 learn_whole_list(node, 3, served.dial)
-            connections.let.set()
+            connections.release.set()
             assert (await node.event(completed)).outcome == Outcome.CONNECT_FAILED
             assert (await client.answer())[0] == 503 and served.seen == []  # there is no other engine
             assert (await client.ask(request()))[0] == (200 if back else 503)
@@ -59,7 +59,7 @@
                 if not served.seen:
                     assert await outcomes.get() == Outcome.OK
                 else:
-                    assert attempt._rest is not None and outcomes.empty()
+                    assert attempt._reuse_timer is not None and outcomes.empty()
             learn_whole_list(node, 2)
             assert await outcomes.get() == Outcome.CONNECT_FAILED
             assert (len(served.seen), node.host.upstream.connections) == (1, 0)
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -191,7 +191,7 @@
             ):
                 node.discovery.watch(True)
                 await wait_for_calls(old, 2)  # the first answer has been applied
-                node.discovery.move(config.address(new.dial))
+                node.discovery.change_address(config.address(new.dial))
                 await wait_for_calls(new, len(after) + 1)
                 client = await node.client()
                 assert (await client.ask(request()))[0] == 503 and served.seen == []
