--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from sprucenotch.seams.disk import RealDisk
-from sprucenotch.store.reading import Owner, Schema, read
+from sprucenotch.store.reader import Owner, Schema, read
 from sprucenotch.store.store import Mode, Store, open_store
 
 OWNER = Owner("benchmark", "one")
--- a/sprucenotch/cli/store.py
+++ b/sprucenotch/cli/store.py
@@ -12,7 +12,7 @@
 from sprucenotch.cli.output import AsJson, Exit, columns, fail, print_json
 from sprucenotch.seams.disk import RealDisk
 from sprucenotch.store.frame import Header
-from sprucenotch.store.reading import Found, Owner, Schema, headers, read
+from sprucenotch.store.reader import Found, Owner, Schema, headers, read
 from sprucenotch.store.store import StoreLocked, open_store
 
 app = typer.Typer(
--- a/sprucenotch/node/acceptor.py
+++ b/sprucenotch/node/acceptor.py
@@ -17,7 +17,12 @@
 from sprucenotch.node.log import event
 from sprucenotch.node.poller import running_poller
 from sprucenotch.node.transport import SocketTransport
-from sprucenotch.seams.system_errors import EXHAUSTED, MAX_PAUSE, Shortage, pauses
+from sprucenotch.seams.system_errors import (
+    MAX_RETRY_DELAY,
+    RESOURCE_EXHAUSTION_ERRORS,
+    ConsecutiveFailures,
+    retry_delays,
+)
 
 MAX_FAILURES_AT_ONCE = 8  # after so many failed connections in a row accept pauses too
 # Seconds in which failures of accept are retried while the listener closes. After SIGTERM, new connections
@@ -46,8 +51,8 @@
         self._loop = asyncio.get_running_loop()
         self._waiting: asyncio.Future[None] | None = None  # for the next connection
         self._closing = False
-        self._failures, self._pauses = 0, pauses()  # of accept, since the last success
-        self._shortage = Shortage()
+        self._failures, self._pauses = 0, retry_delays()  # of accept, since the last success
+        self._shortage = ConsecutiveFailures()
         listener.setblocking(False)
         self._watch = running_poller().watch(listener.fileno(), self._wake)
         self._task = self._loop.create_task(self._run())
@@ -66,7 +71,7 @@
                     await self._accept_or_wait()
                 except Exception:  # an unexpected error must not stop the listener
                     log.exception("fault", extra={"fields": {"handling": "accept"}})
-                    await asyncio.sleep(MAX_PAUSE)
+                    await asyncio.sleep(MAX_RETRY_DELAY)
             await self._take_all_waiting()
         finally:
             self._watch.end()
@@ -104,14 +109,14 @@
         in a row."""
         self._failures += 1
         self._count("accept_failed")
-        if self._shortage.lasts(problem):
+        if self._shortage.count_failure(problem):
             self._free_descriptor()
-        at_once = problem.errno not in EXHAUSTED and self._failures <= MAX_FAILURES_AT_ONCE
+        at_once = problem.errno not in RESOURCE_EXHAUSTION_ERRORS and self._failures <= MAX_FAILURES_AT_ONCE
         await asyncio.sleep(0 if at_once else next(self._pauses))
 
     async def _hand_over(self, accepted: socket.socket) -> None:
-        self._failures, self._pauses = 0, pauses()
-        self._shortage.ends()
+        self._failures, self._pauses = 0, retry_delays()
+        self._shortage.reset()
         SocketTransport(accepted, self._protocol())
         await asyncio.sleep(0)  # let the open connections run too
 
--- a/sprucenotch/node/config.py
+++ b/sprucenotch/node/config.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 
 from sprucenotch import api, settings
-from sprucenotch.seams.system_errors import FILE_PASSING
+from sprucenotch.seams.system_errors import TRANSIENT_FILE_ERRORS
 from sprucenotch.settings import Log, State, TestDisk, WrongClock
 
 Address: TypeAlias = tuple[str, int]
@@ -146,7 +146,7 @@
         with open(path, "rb") as file:
             raw = file.read()
     except OSError as problem:
-        kind = ConfigUnreadable if problem.errno in FILE_PASSING else ConfigError
+        kind = ConfigUnreadable if problem.errno in TRANSIENT_FILE_ERRORS else ConfigError
         raise kind(f"cannot be read: {problem.strerror}") from None
     if path.endswith(".toml"):
         from sprucenotch.config import toml  # not needed for JSON
--- a/sprucenotch/node/discovery.py
+++ b/sprucenotch/node/discovery.py
@@ -18,7 +18,7 @@
 from sprucenotch.node.withdrawals import Withdrawals
 from sprucenotch.policy import discovery as schedule
 from sprucenotch.seams.clock import http_date
-from sprucenotch.seams.system_errors import retried
+from sprucenotch.seams.system_errors import retry_local_failures
 
 log = logging.getLogger(__name__)
 
@@ -291,6 +291,6 @@
 
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
-                return await retried(open_connection, CONNECT_TIMEOUT)
+                return await retry_local_failures(open_connection, CONNECT_TIMEOUT)
         except OSError as problem:  # includes TimeoutError
             raise CallFailed(f"{type(problem).__name__} {problem}") from None
--- a/sprucenotch/node/listener.py
+++ b/sprucenotch/node/listener.py
@@ -9,7 +9,7 @@
 
 from sprucenotch.node.config import Address
 from sprucenotch.node.log import event
-from sprucenotch.seams.system_errors import retried
+from sprucenotch.seams.system_errors import retry_local_failures
 
 BACKLOG = 512  # connections in the kernel's queue
 # Seconds in which a failed bind or listen is retried; a restarted process has 6 s to be ready.
@@ -27,7 +27,7 @@
     async def bind() -> socket.socket:
         return bind_once(address, shared)
 
-    return await retried(bind, BIND_TIMEOUT)
+    return await retry_local_failures(bind, BIND_TIMEOUT)
 
 
 def bind_once(
@@ -54,7 +54,7 @@
         listener.listen(BACKLOG)
         return listener
 
-    return await retried(listen, BIND_TIMEOUT)
+    return await retry_local_failures(listen, BIND_TIMEOUT)
 
 
 def steer_to_successor(listener: socket.socket) -> None:
--- a/sprucenotch/node/poller.py
+++ b/sprucenotch/node/poller.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 from weakref import WeakValueDictionary
 
-from sprucenotch.seams.system_errors import pauses
+from sprucenotch.seams.system_errors import retry_delays
 
 MAX_EVENTS = 64  # per epoll_wait; the others follow in the next loop iteration
 # Errors of epoll_ctl for lack of memory or of the user's watches: it may succeed later.
@@ -63,7 +63,7 @@
         self._watches: dict[int, Watch] = {}
         self._failed: dict[Watch, None] = {}  # whose mask could not be registered yet
         self._failing = False  # the last registration failed
-        self._pauses: Iterator[float] = pauses()  # since the last success
+        self._pauses: Iterator[float] = retry_delays()  # since the last success
         self._retry: asyncio.TimerHandle | None = None
         loop.add_reader(self._epoll.fileno(), self._dispatch)
 
@@ -86,7 +86,7 @@
             return
         self._failed.pop(watch, None)
         if self._failing:
-            self._failing, self._pauses = False, pauses()
+            self._failing, self._pauses = False, retry_delays()
 
     def forget(self, watch: Watch) -> None:
         """Drop a watch whose descriptor is about to be closed."""
--- a/sprucenotch/node/reload.py
+++ b/sprucenotch/node/reload.py
@@ -12,7 +12,7 @@
 from sprucenotch.node.frontend import Frontend
 from sprucenotch.node.host import Host
 from sprucenotch.node.log import configure_logging, event
-from sprucenotch.seams.system_errors import pauses
+from sprucenotch.seams.system_errors import retry_delays
 
 # Seconds for which reading an unreadable file is retried. A new configuration must be in force 4 s after the
 # signal.
@@ -35,7 +35,7 @@
         event(log, logging.INFO, "reloading")
         if self._retry is not None:
             self._retry.cancel()
-        self._try(pauses(), self._loop.time() + LOAD_TIMEOUT)
+        self._try(retry_delays(), self._loop.time() + LOAD_TIMEOUT)
 
     def _try(self, pause: Iterator[float], give_up_at: float) -> None:
         self._retry = None
--- a/sprucenotch/node/serve.py
+++ b/sprucenotch/node/serve.py
@@ -29,7 +29,7 @@
 from sprucenotch.node.poller import running_poller
 from sprucenotch.node.reload import LOAD_TIMEOUT, Reload
 from sprucenotch.seams import clock
-from sprucenotch.seams.system_errors import is_exhaustion, pauses
+from sprucenotch.seams.system_errors import is_exhaustion, retry_delays
 
 ACCEPT_AFTER_STOP = 0.6  # seconds; after SIGTERM new connections still arrive for 0.2 to 0.4 s
 
@@ -43,7 +43,7 @@
     running_poller()  # must not fail, so it is set up before there is any socket to watch
     event(log, logging.INFO, "starting", name=config.name, servers=len(config.known.hosts))
     wrong_clock = config.clock
-    time = clock.wrong(wrong_clock.offset_ns, wrong_clock.drift_ppm) if wrong_clock else clock.Clock()
+    time = clock.skewed_clock(wrong_clock.offset_ns, wrong_clock.drift_ppm) if wrong_clock else clock.Clock()
     host = Host(config, loop, time)
     frontend = Frontend(config, host, loop)
     host.upstream.free_descriptor = frontend.free_descriptor
@@ -190,14 +190,14 @@
 def load_with_retries() -> Config:
     """Load the configuration, retrying an unreadable file until LOAD_TIMEOUT. Raises ConfigError."""
     give_up_at = monotonic() + LOAD_TIMEOUT
-    for pause in pauses():
+    for pause in retry_delays():
         try:
             return load(os.environ)
         except ConfigUnreadable:
             if monotonic() + pause > give_up_at:
                 raise
         sleep(pause)
-    raise AssertionError("pauses have no end")
+    raise AssertionError("retry delays have no end")
 
 
 if __name__ == "__main__":
--- a/sprucenotch/node/stream.py
+++ b/sprucenotch/node/stream.py
@@ -22,8 +22,8 @@
     """The memory for all buffered bodies. It is reserved before a body is read, so that no request waits for
     memory while it holds some: without memory a request is refused."""
 
-    def __init__(self, most: int) -> None:
-        self.max_bytes, self.used = most, 0
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes, self.used = max_bytes, 0
 
     def reserve(self, size: int) -> bool:
         """Reserve so many bytes; False if they would exceed the limit."""
--- a/sprucenotch/node/transport.py
+++ b/sprucenotch/node/transport.py
@@ -1,8 +1,8 @@
 """TCP connections: the only place where stream sockets are connected, read and written.
 
 The event loop's own transports treat the first read or write that fails for lack of memory (ENOBUFS, ENOMEM)
-as a lost connection. Here it is retried with the pauses of `system_errors.pauses`: unsent data is kept in
-order, unread data is read later. Sources: recv(2), send(2), shutdown(2), connect(2).
+as a lost connection. Here it is retried with the delays of `system_errors.retry_delays`: unsent data is kept
+in order, unread data is read later. Sources: recv(2), send(2), shutdown(2), connect(2).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from sprucenotch.node.config import Address
 from sprucenotch.node.poller import running_poller
-from sprucenotch.seams.system_errors import is_exhaustion, pauses
+from sprucenotch.seams.system_errors import is_exhaustion, retry_delays
 
 # Seconds of failing reads or writes after which a connection counts as lost. Every waiting party has an
 # earlier limit of its own: the request's deadline, a call's timeout, STALL_TIMEOUT for a body.
@@ -36,7 +36,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._pauses: Iterator[float] = pauses()
+        self._pauses: Iterator[float] = retry_delays()
         self._timer: asyncio.TimerHandle | None = None
         self.give_up_at = loop.time() + FAILING_TIMEOUT
 
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -12,7 +12,7 @@
 from sprucenotch.node.pool import Pool
 from sprucenotch.node.stream import Stream, no_op
 from sprucenotch.node.transport import connect
-from sprucenotch.seams.system_errors import Shortage, ignore, retried
+from sprucenotch.seams.system_errors import ConsecutiveFailures, ignore_failure, retry_local_failures
 
 PROBE_TIMEOUT = 0.5  # seconds
 MAX_IDLE_SHARE = 0.9  # of the endpoint's idle limit; a connection idle for longer is not reused
@@ -227,7 +227,7 @@
         else:
             connection.close()
 
-    async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore) -> Connection:
+    async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore_failure) -> Connection:
         """Open a connection. It counts against the limit until it is lost, which may be before this returns.
 
         A failure on this machine is reported to `failed` and retried until the connect timeout. Raises
@@ -249,18 +249,18 @@
             async with asyncio.timeout(self._connect_timeout):
                 await connect(connection, pool.dial)
 
-        shortage = Shortage()
+        shortage = ConsecutiveFailures()
 
         def on_local_failure(problem: OSError) -> None:
             self._count("connect_failed_here")
-            if shortage.lasts(problem):
+            if shortage.count_failure(problem):
                 self.free_descriptor()
             failed(problem)
 
         self._open += 1
         self._count("handshakes")
         try:
-            await retried(open_connection, self._connect_timeout, on_local_failure)
+            await retry_local_failures(open_connection, self._connect_timeout, on_local_failure)
         except BaseException:
             # A connection cancelled in the loop iteration in which it was established has not called on_lost.
             connection.close()
--- a/sprucenotch/recovery/predecessor.py
+++ b/sprucenotch/recovery/predecessor.py
@@ -16,10 +16,10 @@
 from sprucenotch.node.config import Address
 from sprucenotch.node.connection import UNREADABLE, Answer, Connection
 from sprucenotch.node.transport import connect
-from sprucenotch.recovery.memory import StateRecord, decode
+from sprucenotch.recovery.records import StateRecord, decode
 from sprucenotch.seams.disk import Disk
-from sprucenotch.seams.system_errors import retried
-from sprucenotch.store.reading import Owner, Schema, read
+from sprucenotch.seams.system_errors import retry_local_failures
+from sprucenotch.store.reader import Owner, Schema, read
 
 PATH = "/api/handover"
 CALL_TIMEOUT = 0.25  # seconds for the whole call
@@ -114,7 +114,7 @@
 async def _call(address: Address) -> Answer | None:
     connection = Connection()
     connection.max_body_size = MAX_BODY_BYTES
-    await retried(lambda: connect(connection, address), CALL_TIMEOUT)
+    await retry_local_failures(lambda: connect(connection, address), CALL_TIMEOUT)
     try:
         return await connection.ask(
             f"GET {PATH} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n\r\n".encode()
--- a/sprucenotch/recovery/memory.py
+++ b/sprucenotch/recovery/records.py
@@ -10,7 +10,7 @@
 
 from sprucenotch import api
 from sprucenotch.node.config import HostList
-from sprucenotch.seams.clock import Moment
+from sprucenotch.seams.clock import Timestamp
 
 SECOND = 1_000_000_000
 # By the documented rules, changes in discovery bind a successor 2 s after it is ready.
@@ -22,8 +22,8 @@
     """One record of the state. A field that is None has the value of the previous record."""
 
     format: int
-    at: Moment
-    confirmed: Moment | None  # when discovery last confirmed the list as the newest
+    at: Timestamp
+    confirmed: Timestamp | None  # when discovery last confirmed the list as the newest
     hosts: HostList | None
     learned: api.Learned | None
 
@@ -53,7 +53,7 @@
         return self.hosts is not None and bool(self.hosts.hosts) and self.list_age <= MAX_VERIFIED_AGE
 
 
-def age(then: Moment, now: Moment) -> int | None:
+def age(then: Timestamp, now: Timestamp) -> int | None:
     """Return how long before `now` the moment `then` was; None if it is in the future.
 
     Within one boot the wall clock is not used; across boots the age is at least the time since boot.
@@ -63,12 +63,12 @@
     return max(now.wall - then.wall, now.at) if now.wall >= then.wall else None
 
 
-def earlier_by(now: Moment, by: int) -> Moment:
+def earlier_by(now: Timestamp, by: int) -> Timestamp:
     """Return the moment `by` nanoseconds before `now`."""
-    return Moment(now.boot, now.at - by, now.wall - by)
+    return Timestamp(now.boot, now.at - by, now.wall - by)
 
 
-def recover(records: Iterable[StateRecord], now: Moment, oldest: int) -> tuple[RecoveredState, list[str]]:
+def recover(records: Iterable[StateRecord], now: Timestamp, oldest: int) -> tuple[RecoveredState, list[str]]:
     """Return the last list and learned values no older than `oldest`, and why others were rejected."""
     state, rejected = fold(records, now)
     if state is None:
@@ -86,7 +86,7 @@
     return RecoveredState(hosts, list_age, learned, learned_age), rejected
 
 
-def fold(records: Iterable[StateRecord], now: Moment) -> tuple[StateRecord | None, list[str]]:
+def fold(records: Iterable[StateRecord], now: Timestamp) -> tuple[StateRecord | None, list[str]]:
     """Combine all records into one; also return why some were rejected."""
     state: StateRecord | None = None
     rejected: dict[str, None] = {}
--- a/sprucenotch/recovery/service.py
+++ b/sprucenotch/recovery/service.py
@@ -16,13 +16,13 @@
 from sprucenotch.node.host import Host
 from sprucenotch.node.log import event
 from sprucenotch.recovery import predecessor
-from sprucenotch.recovery.memory import FORMAT, SECOND, RecoveredState, StateRecord, earlier_by, recover
+from sprucenotch.recovery.records import FORMAT, SECOND, RecoveredState, StateRecord, earlier_by, recover
 from sprucenotch.recovery.writer import Writer
-from sprucenotch.seams.clock import Clock, moment
+from sprucenotch.seams.clock import Clock, current_timestamp
 from sprucenotch.seams.disk import Disk, RealDisk
-from sprucenotch.seams.system_errors import retried
+from sprucenotch.seams.system_errors import retry_local_failures
 from sprucenotch.settings import State
-from sprucenotch.store.reading import Owner, Schema
+from sprucenotch.store.reader import Owner, Schema
 from sprucenotch.store.store import Bounds, Opened, open_store
 
 log = logging.getLogger(__name__)
@@ -56,17 +56,17 @@
             Path(self._state.dir).mkdir(mode=0o700, exist_ok=True)
         disk: Disk = RealDisk(Path(self._state.dir))
         if config.disk is not None and config.disk.record:
-            from sprucenotch.seams.recorded import Recorded
+            from sprucenotch.seams.recorded import RecordingDisk
 
-            return Recorded(disk, Path(config.disk.record))
+            return RecordingDisk(disk, Path(config.disk.record))
         return disk
 
     # ---- the start
 
     async def recover(self) -> RecoveredState:
         """Return the state that the previous process left or answers with; empty if none is valid."""
-        await retried(self._read_boot, BOOT_TIMEOUT)
-        now, found = moment(self._clock), RecoveredState()
+        await retry_local_failures(self._read_boot, BOOT_TIMEOUT)
+        now, found = current_timestamp(self._clock), RecoveredState()
         if self._disk is not None:
             result = await predecessor.read_folder(self._disk, self._owner, SCHEMA, self._clock.now())
             found = self._evaluate("folder", result)
@@ -84,15 +84,16 @@
             log, logging.INFO, "recalled", version=-1 if found.hosts is None else found.hosts.seq,
             outdated=outdated, verified=found.verified, list_age_ms=found.list_age // ms,
             learned=found.learned is not None,
-            learned_age_ms=found.learned_age // ms, took_ms=(moment(self._clock).at - now.at) // ms,
+            learned_age_ms=found.learned_age // ms,
+            took_ms=(current_timestamp(self._clock).at - now.at) // ms,
         )  # fmt: skip
         return found._replace(hosts=None) if outdated else found  # the configured list is newer
 
     async def _read_boot(self) -> None:
-        moment(self._clock)
+        current_timestamp(self._clock)
 
     def _evaluate(self, by: str, result: predecessor.HandoverResult) -> RecoveredState:
-        found, rejected = recover(result.records, moment(self._clock), int(self._state.oldest_ns))
+        found, rejected = recover(result.records, current_timestamp(self._clock), int(self._state.oldest_ns))
         for why in (*result.problems, *rejected):
             event(log, logging.WARNING, "not recalled", by=by, why=why)
         return found
@@ -106,7 +107,9 @@
         """
         self._learned, self._list_age, host.on_host_list = host.learned, list_age, self._on_list
         if self._disk is not None:
-            self._writer = Writer(self._open_store, self._state.sync_ns / SECOND, lambda: moment(self._clock))
+            self._writer = Writer(
+                self._open_store, self._state.sync_ns / SECOND, lambda: current_timestamp(self._clock)
+            )
             self._writer.start()
             self._loop.call_later(FIRST_RECORD_DELAY, self._tick)
 
@@ -146,7 +149,7 @@
         It contains the list only once discovery has sent or confirmed it to this process; a list from another
         source is already stored.
         """
-        now, old = moment(self._clock), self._list_age()
+        now, old = current_timestamp(self._clock), self._list_age()
         confirmed, hosts = (None if old is None else earlier_by(now, old)), None
         if with_list and confirmed is not None:
             hosts = HostList(self._seq, True, tuple(self._entries.values()))
--- a/sprucenotch/recovery/writer.py
+++ b/sprucenotch/recovery/writer.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 
 from sprucenotch.node.log import event
-from sprucenotch.recovery.memory import StateRecord, fold, merge
-from sprucenotch.seams.clock import Moment
+from sprucenotch.recovery.records import StateRecord, fold, merge
+from sprucenotch.seams.clock import Timestamp
 from sprucenotch.store.store import Opened, Store, StoreLocked
 
 log = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
     """Writes records to a store. `open_store` opens it, or raises StoreLocked."""
 
     def __init__(
-        self, open_store: Callable[[], Opened[StateRecord]], sync_every: float, now: Callable[[], Moment]
+        self, open_store: Callable[[], Opened[StateRecord]], sync_every: float, now: Callable[[], Timestamp]
     ) -> None:
         self._open_store, self._sync_every, self._now = open_store, sync_every, now
         self._pending: StateRecord | None = None
--- a/sprucenotch/rig/cuts.py
+++ b/sprucenotch/rig/cuts.py
@@ -17,7 +17,7 @@
 from sprucenotch.rig.volume import Volume
 from sprucenotch.seams.disk import File
 from sprucenotch.store import frame
-from sprucenotch.store.reading import Owner, Schema
+from sprucenotch.store.reader import Owner, Schema
 from sprucenotch.store.store import Mode, open_store
 
 MODES: tuple[Mode, ...] = ("none", "interval", "always")
@@ -51,9 +51,9 @@
     def read(self, name: str) -> bytes:
         return self._volume.read(name)
 
-    def open(self, name: str, anew: bool = False) -> File:
+    def open(self, name: str, truncate: bool = False) -> File:
         self.take_operation("open")
-        return _PowerCutFile(self, self._volume.open(name, anew))
+        return _PowerCutFile(self, self._volume.open(name, truncate))
 
     def rename(self, old: str, new: str) -> None:
         self.take_operation("rename")
@@ -69,9 +69,9 @@
     def unlock(self) -> None:
         self._volume.unlock()
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         if self.take_operation("sync names"):
-            self._volume.sync_names()
+            self._volume.sync_directory()
 
 
 class _PowerCutFile:
--- a/sprucenotch/rig/volume.py
+++ b/sprucenotch/rig/volume.py
@@ -127,11 +127,11 @@
         self._begin("read")
         return bytes(self._inode(name).visible)
 
-    def open(self, name: str, anew: bool = False) -> OpenFile:
+    def open(self, name: str, truncate: bool = False) -> OpenFile:
         self._begin("open")
         if name not in self._names:
             self._change_names(DirectoryChange(((name, Inode()),)))
-        if anew:
+        if truncate:
             self._names[name].truncate(0)
         return OpenFile(self, self._names[name])
 
@@ -144,7 +144,7 @@
         self._inode(name)
         self._change_names(DirectoryChange(removed=(name,)))
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         self._begin("sync")
         self._durable = dict(self._names)
         self._pending.clear()
@@ -244,7 +244,7 @@
         file = volume.open(name)
         file.write(data)
         file.sync()
-    volume.sync_names()
+    volume.sync_directory()
     while at + 4 <= len(record):
         end = at + 4 + int.from_bytes(record[at : at + 4], "big")
         if end > len(record):
@@ -266,5 +266,5 @@
             case "remove":
                 volume.remove(operation.name)
             case "sync names":
-                volume.sync_names()
+                volume.sync_directory()
     return volume
--- a/sprucenotch/seams/clock.py
+++ b/sprucenotch/seams/clock.py
@@ -28,7 +28,7 @@
         return self._monotonic() + self._anchor
 
 
-def wrong(
+def skewed_clock(
     offset: int,
     drift_ppm: float,
     wall: Callable[[], int] = time.time_ns,
@@ -59,7 +59,7 @@
     return int(date.timestamp()) * 1_000_000_000
 
 
-class Moment(NamedTuple):
+class Timestamp(NamedTuple):
     """A point in time whose age another process of this machine can compute, also after a reboot."""
 
     boot: str  # boot ID of the machine
@@ -70,10 +70,10 @@
 _boot = ""  # boot ID, cached: it does not change during the life of a process
 
 
-def moment(clock: Clock) -> Moment:
+def current_timestamp(clock: Clock) -> Timestamp:
     """The current point in time. Raises OSError if the boot ID cannot be read."""
     global _boot
     if not _boot:
         with open("/proc/sys/kernel/random/boot_id", encoding="ascii") as file:
             _boot = file.read().strip()
-    return Moment(_boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME), clock.now())
+    return Timestamp(_boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME), clock.now())
--- a/sprucenotch/seams/disk.py
+++ b/sprucenotch/seams/disk.py
@@ -1,7 +1,7 @@
 """A folder of files: a minimal set of operations with stated durability guarantees.
 
 Written data is visible to all readers at once, and survives the end of the process. It survives a power cut
-only after `File.sync` of the file and `Disk.sync_names` for its name. Source: POSIX write, fsync, rename.
+only after `File.sync` of the file and `Disk.sync_directory` for its name. Source: POSIX write, fsync, rename.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
         """The content of a regular file; symbolic links are not followed."""
         ...
 
-    def open(self, name: str, anew: bool = False) -> File:
-        """Open for appending, creating the file if needed; `anew` truncates it first."""
+    def open(self, name: str, truncate: bool = False) -> File:
+        """Open for appending, creating the file if needed; `truncate` empties it first."""
         ...
 
     def rename(self, old: str, new: str) -> None:
@@ -46,7 +46,7 @@
 
     def remove(self, name: str) -> None: ...
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Make the folder's entries durable: creations, renames and removals."""
 
     def lock(self, name: str) -> None:
@@ -57,9 +57,9 @@
 
 
 class RealFile:
-    def __init__(self, path: Path, anew: bool) -> None:
+    def __init__(self, path: Path, truncate: bool) -> None:
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC | os.O_NOFOLLOW
-        self._descriptor = os.open(path, flags | (os.O_TRUNC if anew else 0), 0o600)
+        self._descriptor = os.open(path, flags | (os.O_TRUNC if truncate else 0), 0o600)
 
     def write(self, data: bytes) -> None:
         remaining = memoryview(data)
@@ -93,8 +93,8 @@
                 raise OSError(errno.ELOOP, "not a regular file", name)
             return file.read()
 
-    def open(self, name: str, anew: bool = False) -> RealFile:
-        return RealFile(self._folder / name, anew)
+    def open(self, name: str, truncate: bool = False) -> RealFile:
+        return RealFile(self._folder / name, truncate)
 
     def rename(self, old: str, new: str) -> None:
         os.replace(self._folder / old, self._folder / new)
@@ -119,7 +119,7 @@
         while self._locks:
             os.close(self._locks.pop())
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         descriptor = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/sprucenotch/seams/system_errors.py
+++ b/sprucenotch/seams/system_errors.py
@@ -12,25 +12,31 @@
 from typing import TypeVar
 
 # The process or the machine is out of descriptors or memory.
-EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+RESOURCE_EXHAUSTION_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 # Connecting failed before any packet was sent: local ports, routes, packet filters.
-LOCAL_ERRORS = EXHAUSTED | {
+LOCAL_ERRORS = RESOURCE_EXHAUSTION_ERRORS | {
     errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR, errno.ENETDOWN, errno.ENETUNREACH,
     errno.EPERM,
 }  # fmt: skip
 # Transient failures to open or read a file.
-FILE_PASSING = EXHAUSTED | {errno.EAGAIN, errno.EBUSY, errno.EINTR, errno.EIO, errno.ESTALE}
+TRANSIENT_FILE_ERRORS = RESOURCE_EXHAUSTION_ERRORS | {
+    errno.EAGAIN,
+    errno.EBUSY,
+    errno.EINTR,
+    errno.EIO,
+    errno.ESTALE,
+}
 
 T = TypeVar("T")
 
 FAILURES_BEFORE_FREEING = 2  # consecutive; a single failure is often transient
-FIRST_PAUSE = 0.005  # seconds before the first retry
-MAX_PAUSE = 0.08  # seconds; pauses double up to this
+FIRST_RETRY_DELAY = 0.005  # seconds before the first retry
+MAX_RETRY_DELAY = 0.08  # seconds; pauses double up to this
 
 
 def is_exhaustion(problem: BaseException) -> bool:
     """Whether the error means that descriptors or memory ran out."""
-    return isinstance(problem, OSError) and problem.errno in EXHAUSTED
+    return isinstance(problem, OSError) and problem.errno in RESOURCE_EXHAUSTION_ERRORS
 
 
 def is_local(problem: BaseException) -> bool:
@@ -38,7 +44,7 @@
     return isinstance(problem, OSError) and problem.errno in LOCAL_ERRORS
 
 
-class Shortage:
+class ConsecutiveFailures:
     """Counts consecutive failures of a call.
 
     A single failure may be transient; if descriptors or memory run out again, resources must be freed.
@@ -49,29 +55,29 @@
     def __init__(self) -> None:
         self._failures = 0
 
-    def lasts(self, problem: OSError) -> bool:
+    def count_failure(self, problem: OSError) -> bool:
         """Count a failure. Returns whether resources must be freed."""
         self._failures += 1
         return is_exhaustion(problem) and self._failures >= FAILURES_BEFORE_FREEING
 
-    def ends(self) -> None:
+    def reset(self) -> None:
         """Reset after the call has succeeded."""
         self._failures = 0
 
 
-def ignore(problem: OSError) -> None:
+def ignore_failure(problem: OSError) -> None:
     """A callback that ignores a failure."""
 
 
-async def retried(
-    call: Callable[[], Awaitable[T]], timeout: float, failed: Callable[[OSError], None] = ignore
+async def retry_local_failures(
+    call: Callable[[], Awaitable[T]], timeout: float, failed: Callable[[OSError], None] = ignore_failure
 ) -> T:
     """Call and return the result; retry after local failures for at most `timeout` seconds.
 
     `failed` is called with each failure that is retried. Raises the last failure.
     """
     deadline = get_running_loop().time() + timeout
-    for pause in pauses():
+    for pause in retry_delays():
         try:
             return await call()
         except OSError as problem:
@@ -79,12 +85,12 @@
                 raise
             failed(problem)
         await sleep(pause)
-    raise AssertionError("pauses have no end")
+    raise AssertionError("retry delays have no end")
 
 
-def pauses() -> Iterator[float]:
+def retry_delays() -> Iterator[float]:
     """An endless sequence of delays before retries, in seconds."""
-    pause = FIRST_PAUSE
+    pause = FIRST_RETRY_DELAY
     while True:
         yield pause
-        pause = min(2 * pause, MAX_PAUSE)
+        pause = min(2 * pause, MAX_RETRY_DELAY)
--- a/sprucenotch/store/store.py
+++ b/sprucenotch/store/store.py
@@ -17,7 +17,7 @@
 
 from sprucenotch.seams.disk import Disk, File
 from sprucenotch.store.frame import Header, SnapshotEnd, encode, file_start
-from sprucenotch.store.reading import FILE_NAME, MAX_CLOCK_AHEAD, Found, Owner, Schema, read
+from sprucenotch.store.reader import FILE_NAME, MAX_CLOCK_AHEAD, Found, Owner, Schema, read
 
 R = TypeVar("R")
 Mode: TypeAlias = Literal["none", "interval", "always"]
@@ -152,7 +152,7 @@
     ) -> Iterator[None]:
         """Write the snapshot of this generation, the state at `sequence`, and remove the old files."""
         name = f"snapshot.{self.generation}"
-        file = self._disk.open(f"{name}.new", anew=True)
+        file = self._disk.open(f"{name}.new", truncate=True)
         file.write(file_start(self._header("snapshot", now), sequence))
         for start in range(0, len(state), RECORDS_PER_STEP):
             part = enumerate(state[start : start + RECORDS_PER_STEP], sequence + 1 + start)
@@ -164,7 +164,7 @@
         file.close()
         yield
         self._disk.rename(f"{name}.new", name)
-        self._disk.sync_names()
+        self._disk.sync_directory()
         yield
         for old_name in old_names:
             self._disk.remove(old_name)
@@ -178,10 +178,10 @@
             self._journal.close()
             self._journal = None
         self.generation += 1
-        journal = self._disk.open(f"journal.{self.generation}", anew=True)
+        journal = self._disk.open(f"journal.{self.generation}", truncate=True)
         journal.write(file_start(self._header("journal", now), self.sequence))
         journal.sync()
-        self._disk.sync_names()
+        self._disk.sync_directory()
         self._journal = journal
         self._bytes = self._records = self._unsynced = 0
 
@@ -214,7 +214,7 @@
         for _ in self._snapshot(found.records, found.sequence, now, whole):
             pass
         aside = tuple(self._set_aside(name) for name in broken)
-        self._disk.sync_names()
+        self._disk.sync_directory()
         return aside
 
     def _set_aside(self, name: str) -> str:
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -17,8 +17,8 @@
 from sprucenotch.node.frontend import ClientConnection
 from sprucenotch.node.serve import main
 from sprucenotch.node.telemetry import Telemetry
-from sprucenotch.recovery import memory, writer
-from sprucenotch.seams.recorded import RecordedFile
+from sprucenotch.recovery import records, writer
+from sprucenotch.seams.recorded import RecordingFile
 from tests.planted_hunt import repeats_what_may_have_run
 
 CALLS_PER_FAULT = 10
@@ -101,13 +101,13 @@
 
 
 def takes_everything_for_new() -> None:
-    memory.age = lambda then, now: 0
+    records.age = lambda then, now: 0
 
 
 def makes_a_list_up() -> None:
     put = writer.Writer.put
 
-    def planted(self: writer.Writer, record: memory.StateRecord) -> None:
+    def planted(self: writer.Writer, record: records.StateRecord) -> None:
         if record.hosts is not None:
             record = structs.replace(record, hosts=structs.replace(record.hosts, seq=record.hosts.seq + 1000))
         put(self, record)
@@ -116,7 +116,7 @@
 
 
 def never_syncs() -> None:
-    RecordedFile.sync = lambda self: None  # type: ignore[method-assign]
+    RecordingFile.sync = lambda self: None  # type: ignore[method-assign]
 
 
 # Faults that show only at the start of a successor.
--- a/tests/planted_hunt.py
+++ b/tests/planted_hunt.py
@@ -63,7 +63,7 @@
     async def planted(call: Callable[[], Awaitable[T]], timeout: float, failed: Any = None) -> T:
         return await call()
 
-    vars(upstream)["retried"] = planted
+    vars(upstream)["retry_local_failures"] = planted
     vars(attempt)["is_exhaustion"] = lambda problem: False
 
 
--- a/tests/test_failing_files.py
+++ b/tests/test_failing_files.py
@@ -80,11 +80,11 @@
     with monkeypatch.context() as patch:
         patch.setattr(builtins, "open", lambda *args, **kwargs: (_ for _ in ()).throw(OSError(errno.ENFILE)))
         with pytest.raises(OSError):
-            clock.moment(clock.Clock())
-    first = clock.moment(clock.Clock())
+            clock.current_timestamp(clock.Clock())
+    first = clock.current_timestamp(clock.Clock())
     with monkeypatch.context() as patch:
         patch.setattr(builtins, "open", lambda *args, **kwargs: (_ for _ in ()).throw(OSError(errno.ENFILE)))
-        assert clock.moment(clock.Clock()).boot == first.boot
+        assert clock.current_timestamp(clock.Clock()).boot == first.boot
 
 
 def test_unwritable_log_line_is_dropped_and_counted(
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -17,7 +17,7 @@
 from sprucenotch.node.connection import Connection
 from sprucenotch.node.frontend import MAX_PIPELINED_REQUESTS, ClientConnection
 from sprucenotch.node.pool import Pool
-from sprucenotch.seams.system_errors import ignore
+from sprucenotch.seams.system_errors import ignore_failure
 from tests.sidecar import (
     SETTINGS,
     Client,
@@ -55,7 +55,7 @@
         self._connect = node.host.upstream.connect
         node.host.upstream.connect = self.connect  # type: ignore[method-assign]
 
-    async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore) -> Connection:
+    async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore_failure) -> Connection:
         connection = await self._connect(pool, failed)
         self.coming.set()
         await self.release.wait()
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -19,7 +19,7 @@
 from sprucenotch.rig.syscalls import SHORT, Call, Control, Rule
 from sprucenotch.rig.volume import replay
 from sprucenotch.seams.disk import RealDisk
-from sprucenotch.seams.recorded import Operation, Recorded
+from sprucenotch.seams.recorded import Operation, RecordingDisk
 from tests.failing_calls import needs_compiler
 
 WRITES = 20
@@ -27,24 +27,24 @@
 import contextlib, sys
 from pathlib import Path
 from sprucenotch.seams.disk import RealDisk
-from sprucenotch.seams.recorded import Recorded
+from sprucenotch.seams.recorded import RecordingDisk
 folder, record = map(Path, sys.argv[1:3])
-disk = Recorded(RealDisk(folder), record)
+disk = RecordingDisk(RealDisk(folder), record)
 file = disk.open("journal")
 for number in range(20):
     with contextlib.suppress(OSError):
         file.write(b"%04d" % number * 100)
-disk.sync_names()
+disk.sync_directory()
 """
 
 
 def test_record_is_complete_after_short_writes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     real_write = os.write
-    recorded = Recorded(RealDisk(tmp_path), tmp_path / "sidecar.operations")
+    recorded = RecordingDisk(RealDisk(tmp_path), tmp_path / "sidecar.operations")
     monkeypatch.setattr(os, "write", lambda fd, data: real_write(fd, bytes(data)[:7]))
-    recorded.tell(Operation("open", "journal"))
+    recorded.append(Operation("open", "journal"))
     for number in range(WRITES):
-        recorded.tell(Operation("write", "journal", data=b"%04d" % number))
+        recorded.append(Operation("write", "journal", data=b"%04d" % number))
     monkeypatch.undo()
     volume = replay((tmp_path / "sidecar.operations").read_bytes())
     assert volume.read("journal") == b"".join(b"%04d" % number for number in range(WRITES))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -20,7 +20,7 @@
 from sprucenotch import api
 from sprucenotch.node.config import HostList
 from sprucenotch.recovery import predecessor
-from sprucenotch.recovery.memory import (
+from sprucenotch.recovery.records import (
     FORMAT,
     MAX_VERIFIED_AGE,
     StateRecord,
@@ -35,33 +35,33 @@
 from sprucenotch.rig import plan
 from sprucenotch.rig.play import Play
 from sprucenotch.rig.volume import Volume
-from sprucenotch.seams.clock import Moment
-from sprucenotch.store.reading import Owner
+from sprucenotch.seams.clock import Timestamp
+from sprucenotch.store.reader import Owner
 from sprucenotch.store.store import Opened, StoreLocked, open_store
 from tests.helpers import SECOND
 from tests.sidecar import Seen, endpoint, ok, run, status
 
-NOW = Moment("this boot", 500 * SECOND, 10**18)
+NOW = Timestamp("this boot", 500 * SECOND, 10**18)
 OWNER = Owner("rig", "one")
 TIMES = st.integers(0, 10**19)
-MOMENTS = st.builds(Moment, st.sampled_from(("this boot", "the boot before")), TIMES, TIMES)
+TIMESTAMPS = st.builds(Timestamp, st.sampled_from(("this boot", "the boot before")), TIMES, TIMES)
 LISTS = st.none() | st.builds(HostList, st.integers(0, 9), st.just(True), st.just(()))
 LEARNED = api.Learned((), (), {}, (), 7.0, 0.0, 1.0, 2.0)
 KEPT = st.builds(
-    StateRecord, st.sampled_from((FORMAT, FORMAT, FORMAT, 2)), MOMENTS, st.none() | MOMENTS, LISTS,
+    StateRecord, st.sampled_from((FORMAT, FORMAT, FORMAT, 2)), TIMESTAMPS, st.none() | TIMESTAMPS, LISTS,
     st.none() | st.just(LEARNED),
 )  # fmt: skip
 
 
-def kept(at: Moment = NOW, seq: int | None = None) -> StateRecord:
+def kept(at: Timestamp = NOW, seq: int | None = None) -> StateRecord:
     return StateRecord(FORMAT, at, at, None if seq is None else HostList(seq, True, ()), LEARNED)
 
 
 # ---- ages
 
 
-@given(MOMENTS, MOMENTS, st.integers(-(10**18), 10**18))
-def test_age_is_never_too_small_for_any_wall_clock(then: Moment, now: Moment, jump: int) -> None:
+@given(TIMESTAMPS, TIMESTAMPS, st.integers(-(10**18), 10**18))
+def test_age_is_never_too_small_for_any_wall_clock(then: Timestamp, now: Timestamp, jump: int) -> None:
     passed = age(then, now)
     if then.boot == now.boot:
         assert passed == (now.at - then.at if now.at >= then.at else None)
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -13,7 +13,7 @@
 from sprucenotch.rig.volume import SECTOR, Volume, replay
 from sprucenotch.seams import clock
 from sprucenotch.seams.disk import Disk, RealDisk
-from sprucenotch.seams.recorded import Recorded
+from sprucenotch.seams.recorded import RecordingDisk
 
 NAMES = st.sampled_from("abc")
 STEPS = st.lists(
@@ -39,7 +39,7 @@
             elif do == "remove":
                 disk.remove(name)
             else:
-                file = disk.open(name, anew=do == "anew")
+                file = disk.open(name, truncate=do == "anew")
                 if do == "truncate":
                     file.truncate(argument)
                 elif do == "sync":
@@ -59,7 +59,7 @@
     steps: list[tuple[str, str, Any]],
 ) -> None:
     with TemporaryDirectory() as folder, TemporaryDirectory() as beside:
-        recorded = Recorded(RealDisk(Path(folder)), Path(beside, "record"))
+        recorded = RecordingDisk(RealDisk(Path(folder)), Path(beside, "record"))
         expected = carry_out(recorded, steps)
         assert carry_out(Volume(), steps) == expected
         volume = replay(Path(beside, "record").read_bytes())
@@ -72,7 +72,7 @@
     carry_out(volume, steps)
     for name in volume.names():
         volume.open(name).sync()
-    volume.sync_names()
+    volume.sync_directory()
     before = {name: volume.read(name) for name in volume.names()}
     more = volume.open("more")
     more.write(b"x" * 3 * SECTOR)
@@ -86,19 +86,19 @@
 
 def replace(volume: Volume, data: bytes, leave_out: str) -> None:
     """Replace a file by another, leaving out one of the required steps."""
-    file = volume.open("new", anew=True)
+    file = volume.open("new", truncate=True)
     file.write(data)
     if leave_out != "sync":
         file.sync()
     file.close()
     if leave_out == "rename":
-        held = volume.open("held", anew=True)
+        held = volume.open("held", truncate=True)
         held.write(data)
         held.sync()
         return
     volume.rename("new", "held")
     if leave_out != "sync names":
-        volume.sync_names()
+        volume.sync_directory()
 
 
 @pytest.mark.parametrize("leave_out", ["nothing", "sync", "sync names", "rename"])
@@ -110,7 +110,7 @@
         replace(volume, old, "nothing")
         replace(volume, new, leave_out)
         if leave_out == "rename":  # power is lost before the last sync
-            volume.open("held", anew=True).write(new)
+            volume.open("held", truncate=True).write(new)
         volume.crash(seed)
         outcomes.add(volume.read("held"))
     if leave_out == "nothing":
@@ -126,7 +126,7 @@
     for seed in range(40):
         volume = Volume()
         file = volume.open("a")
-        volume.sync_names()
+        volume.sync_directory()
         volume.room = 700
         with pytest.raises(OSError, match="No space"):
             file.write(b"x" * 1000)
@@ -144,7 +144,7 @@
 def test_wrong_clock_has_the_configured_offset_and_drift() -> None:
     times = [1000]
     correct = clock.Clock(lambda: times[0] + 70, lambda: times[0])
-    fast = clock.wrong(500, 100_000.0, lambda: times[0] + 70, lambda: times[0])
+    fast = clock.skewed_clock(500, 100_000.0, lambda: times[0] + 70, lambda: times[0])
     assert (correct.now(), fast.now()) == (1070, 1570)
     times[0] = 2000
     assert (correct.now(), fast.now()) == (2070, 2670)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,7 +16,7 @@
 from sprucenotch.rig.volume import Volume
 from sprucenotch.seams.disk import RealDisk
 from sprucenotch.store.frame import FORMAT, PREAMBLE, Header, encode, file_start
-from sprucenotch.store.reading import Owner, Schema, read
+from sprucenotch.store.reader import Owner, Schema, read
 from sprucenotch.store.store import Bounds, Store, StoreLocked, open_store
 from tests.test_command_line import typed
 
@@ -58,7 +58,7 @@
         raw[at] ^= 1 << data.draw(st.integers(0, 7))
     else:
         del raw[at:]
-    disk.open(name, anew=True).write(bytes(raw))
+    disk.open(name, truncate=True).write(bytes(raw))
     opened = open_store(disk, OWNER, SCHEMA, NOW)
     kept = list(opened.found.records)
     assert kept == list(range(len(kept))) and opened.problem == ""
