--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -15,7 +15,7 @@
 import tracemalloc
 from pathlib import Path
 
-from sprucenotch.seams.disk import RealDisk
+from sprucenotch.platform.disk import RealDisk
 from sprucenotch.store.reader import Owner, Schema, read
 from sprucenotch.store.store import Mode, Store, open_store
 
--- a/sprucenotch/cli/store.py
+++ b/sprucenotch/cli/store.py
@@ -10,7 +10,7 @@
 import typer
 
 from sprucenotch.cli.output import AsJson, Exit, columns, fail, print_json
-from sprucenotch.seams.disk import RealDisk
+from sprucenotch.platform.disk import RealDisk
 from sprucenotch.store.frame import Header
 from sprucenotch.store.reader import Found, Owner, Schema, headers, read
 from sprucenotch.store.store import StoreLocked, open_store
--- a/sprucenotch/node/acceptor.py
+++ b/sprucenotch/node/acceptor.py
@@ -17,7 +17,7 @@
 from sprucenotch.node.log import event
 from sprucenotch.node.poller import running_poller
 from sprucenotch.node.transport import SocketTransport
-from sprucenotch.seams.system_errors import (
+from sprucenotch.platform.system_errors import (
     MAX_RETRY_DELAY,
     RESOURCE_EXHAUSTION_ERRORS,
     ConsecutiveFailures,
--- a/sprucenotch/node/attempt.py
+++ b/sprucenotch/node/attempt.py
@@ -11,7 +11,7 @@
 from sprucenotch.node.connection import NEVER, Answer, Connection
 from sprucenotch.node.pool import Pool
 from sprucenotch.node.stream import Stream
-from sprucenotch.seams.system_errors import is_exhaustion
+from sprucenotch.platform.system_errors import is_exhaustion
 
 if TYPE_CHECKING:
     from sprucenotch.node.upstream import Upstream
@@ -49,20 +49,8 @@
     """
 
     __slots__ = (
-        "__weakref__",
-        "_connect",
-        "_connection",
-        "_done",
-        "_failed_locally",
-        "_location",
-        "_payload",
-        "_pool",
-        "_purpose",
-        "_reuse_timer",
-        "_stream_from",
-        "_upload",
-        "_upstream",
-        "_written",
+        "__weakref__", "_connect", "_connection", "_done", "_failed_locally", "_location", "_payload",
+        "_pool", "_purpose", "_reuse_timer", "_stream_from", "_upload", "_upstream", "_written",
     )  # fmt: skip
 
     def __init__(
@@ -81,9 +69,8 @@
         self._done: Callable[[int, Answer | None], None] | None = done
         self._connection: Connection | None = None
         self._connect: asyncio.Task[None] | None = None
-        self._reuse_timer: asyncio.TimerHandle | None = (
-            None  # while it waits until an idle connection may be reused
-        )
+        # While it waits until an idle connection may be reused.
+        self._reuse_timer: asyncio.TimerHandle | None = None
         self._stream_from = NEVER
         self._failed_locally = False  # whether the last connect failed on this machine
 
--- a/sprucenotch/node/config.py
+++ b/sprucenotch/node/config.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 
 from sprucenotch import api, settings
-from sprucenotch.seams.system_errors import TRANSIENT_FILE_ERRORS
+from sprucenotch.platform.system_errors import TRANSIENT_FILE_ERRORS
 from sprucenotch.settings import Log, State, TestDisk, WrongClock
 
 Address: TypeAlias = tuple[str, int]
--- a/sprucenotch/node/discovery.py
+++ b/sprucenotch/node/discovery.py
@@ -16,9 +16,9 @@
 from sprucenotch.node.log import event
 from sprucenotch.node.transport import connect
 from sprucenotch.node.withdrawals import Withdrawals
+from sprucenotch.platform.clock import http_date
+from sprucenotch.platform.system_errors import retry_local_failures
 from sprucenotch.policy import discovery as schedule
-from sprucenotch.seams.clock import http_date
-from sprucenotch.seams.system_errors import retry_local_failures
 
 log = logging.getLogger(__name__)
 
--- a/sprucenotch/node/host.py
+++ b/sprucenotch/node/host.py
@@ -29,8 +29,8 @@
 from sprucenotch.node.stream import MAX_READ_SIZE, Budget, Stream
 from sprucenotch.node.telemetry import OUTCOMES, Telemetry
 from sprucenotch.node.upstream import MAX_TIMER_EARLY_S, Upstream
+from sprucenotch.platform.clock import Clock
 from sprucenotch.policy.balance import Balancer
-from sprucenotch.seams.clock import Clock
 
 log = logging.getLogger(__name__)
 
@@ -353,9 +353,8 @@
         if request is None or request.answered:
             self._complete_as_moot(action, request)
             return
-        body_forwarded = (
-            request.upload is not None and request.upload.started
-        )  # what was forwarded is not buffered any more
+        # What was forwarded is not buffered any more.
+        body_forwarded = request.upload is not None and request.upload.started
         expired = not request.uploading and now >= request.expires_at
         if body_forwarded or expired or not self.rules.may_repeat(request, action.send_before):
             self._complete_as_moot(action, request)
--- a/sprucenotch/node/listener.py
+++ b/sprucenotch/node/listener.py
@@ -9,7 +9,7 @@
 
 from sprucenotch.node.config import Address
 from sprucenotch.node.log import event
-from sprucenotch.seams.system_errors import retry_local_failures
+from sprucenotch.platform.system_errors import retry_local_failures
 
 BACKLOG = 512  # connections in the kernel's queue
 # Seconds in which a failed bind or listen is retried; a restarted process has 6 s to be ready.
--- a/sprucenotch/node/peers.py
+++ b/sprucenotch/node/peers.py
@@ -15,7 +15,7 @@
 from sprucenotch.node.listener import BIND_TIMEOUT, bind_once
 from sprucenotch.node.log import event
 from sprucenotch.node.poller import Watch, running_poller
-from sprucenotch.seams.system_errors import retry_local_failures
+from sprucenotch.platform.system_errors import retry_local_failures
 
 MAX_MESSAGE_BYTES = 256
 MAX_MESSAGES_PER_TURN = 16  # received in one iteration of the event loop, before other events are handled
--- a/sprucenotch/node/poller.py
+++ b/sprucenotch/node/poller.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 from weakref import WeakValueDictionary
 
-from sprucenotch.seams.system_errors import retry_delays
+from sprucenotch.platform.system_errors import retry_delays
 
 MAX_EVENTS = 64  # per epoll_wait; the others follow in the next loop iteration
 # Errors of epoll_ctl for lack of memory or of the user's watches: it may succeed later.
--- a/sprucenotch/node/reload.py
+++ b/sprucenotch/node/reload.py
@@ -12,7 +12,7 @@
 from sprucenotch.node.frontend import Frontend
 from sprucenotch.node.host import Host
 from sprucenotch.node.log import configure_logging, event
-from sprucenotch.seams.system_errors import retry_delays
+from sprucenotch.platform.system_errors import retry_delays
 
 # Seconds for which reading an unreadable file is retried. A new configuration must be in force 4 s after the
 # signal.
--- a/sprucenotch/node/serve.py
+++ b/sprucenotch/node/serve.py
@@ -28,8 +28,8 @@
 from sprucenotch.node.peers import Peers
 from sprucenotch.node.poller import running_poller
 from sprucenotch.node.reload import LOAD_TIMEOUT, Reload
-from sprucenotch.seams import clock
-from sprucenotch.seams.system_errors import is_exhaustion, retry_delays
+from sprucenotch.platform import clock
+from sprucenotch.platform.system_errors import is_exhaustion, retry_delays
 
 ACCEPT_AFTER_STOP = 0.6  # seconds; after SIGTERM new connections still arrive for 0.2 to 0.4 s
 
--- a/sprucenotch/node/status.py
+++ b/sprucenotch/node/status.py
@@ -21,9 +21,8 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 DISCOVERY_SILENCE = 30 * SECOND  # longer than any watch holds: discovery is down or unreachable
-STATUS_INTERVAL_S = (
-    1.0  # seconds between status events; admission cuts and queues change within a few seconds
-)
+# Seconds between status events; admission cuts and queues change within a few seconds.
+STATUS_INTERVAL_S = 1.0
 
 
 def own_memory() -> tuple[int, int]:
--- a/sprucenotch/node/stream.py
+++ b/sprucenotch/node/stream.py
@@ -5,9 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_BUFFERED_BODY_SIZE = (
-    64 * 1024
-)  # bytes; a body up to this size is buffered, so that its request can be retried
+# Bytes; a body up to this size is buffered, so that its request can be retried.
+MAX_BUFFERED_BODY_SIZE = 64 * 1024
 MAX_READ_SIZE = 32 * 1024  # bytes per read, and so the most that a transfer buffers
 MAX_BODY_SIZE = 32 * 1024 * 1024  # bytes
 # Bytes that an answer may take before it is streamed: a buffered body and the read that exceeds it.
--- a/sprucenotch/node/transport.py
+++ b/sprucenotch/node/transport.py
@@ -20,7 +20,7 @@
 
 from sprucenotch.node.config import Address
 from sprucenotch.node.poller import running_poller
-from sprucenotch.seams.system_errors import is_exhaustion, retry_delays
+from sprucenotch.platform.system_errors import is_exhaustion, retry_delays
 
 # Seconds of failing reads or writes after which a connection counts as lost. Every waiting party has an
 # earlier limit of its own: the request's deadline, a call's timeout, STALL_TIMEOUT for a body.
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -12,7 +12,7 @@
 from sprucenotch.node.pool import Pool
 from sprucenotch.node.stream import Stream, no_op
 from sprucenotch.node.transport import connect
-from sprucenotch.seams.system_errors import ConsecutiveFailures, ignore_failure, retry_local_failures
+from sprucenotch.platform.system_errors import ConsecutiveFailures, ignore_failure, retry_local_failures
 
 PROBE_TIMEOUT = 0.5  # seconds
 MAX_IDLE_SHARE = 0.9  # of the endpoint's idle limit; a connection idle for longer is not reused
@@ -48,9 +48,8 @@
         self._open = 0
         self._pools: dict[EndpointId, Pool] = {}
         self._probes: set[Attempt] = set()
-        self.free_descriptor = (
-            no_op  # closes the connection of an idle client; set by the owner of the frontend
-        )
+        # Closes the connection of an idle client; set by the owner of the frontend.
+        self.free_descriptor = no_op
 
     def retune(self, config: Config) -> None:
         self._max_idle_ns = int(config.idle_limit * MAX_IDLE_SHARE)
--- a/sprucenotch/seams/recorded.py
+++ b/sprucenotch/platform/recording_disk.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sprucenotch.seams.disk import Disk, File
+from sprucenotch.platform.disk import Disk, File
 
 
 class Operation(NamedTuple):
--- a/sprucenotch/recovery/predecessor.py
+++ b/sprucenotch/recovery/predecessor.py
@@ -16,9 +16,9 @@
 from sprucenotch.node.config import Address
 from sprucenotch.node.connection import UNREADABLE, Answer, Connection
 from sprucenotch.node.transport import connect
+from sprucenotch.platform.disk import Disk
+from sprucenotch.platform.system_errors import retry_local_failures
 from sprucenotch.recovery.records import StateRecord, decode
-from sprucenotch.seams.disk import Disk
-from sprucenotch.seams.system_errors import retry_local_failures
 from sprucenotch.store.reader import Owner, Schema, read
 
 PATH = "/api/handover"
--- a/sprucenotch/recovery/records.py
+++ b/sprucenotch/recovery/records.py
@@ -10,7 +10,7 @@
 
 from sprucenotch import api
 from sprucenotch.node.config import HostList
-from sprucenotch.seams.clock import Timestamp
+from sprucenotch.platform.clock import Timestamp
 
 SECOND = 1_000_000_000
 # By the documented rules, changes in discovery bind a successor 2 s after it is ready.
--- a/sprucenotch/recovery/service.py
+++ b/sprucenotch/recovery/service.py
@@ -15,12 +15,12 @@
 from sprucenotch.node.config import Host as HostEntry
 from sprucenotch.node.host import Host
 from sprucenotch.node.log import event
+from sprucenotch.platform.clock import Clock, current_timestamp
+from sprucenotch.platform.disk import Disk, RealDisk
+from sprucenotch.platform.system_errors import retry_local_failures
 from sprucenotch.recovery import predecessor
 from sprucenotch.recovery.records import FORMAT, SECOND, RecoveredState, StateRecord, earlier_by, recover
 from sprucenotch.recovery.writer import Writer
-from sprucenotch.seams.clock import Clock, current_timestamp
-from sprucenotch.seams.disk import Disk, RealDisk
-from sprucenotch.seams.system_errors import retry_local_failures
 from sprucenotch.settings import State
 from sprucenotch.store.reader import Owner, Schema
 from sprucenotch.store.store import Bounds, Opened, open_store
@@ -28,9 +28,8 @@
 log = logging.getLogger(__name__)
 
 BOOT_TIMEOUT = 0.5  # seconds to read the machine's boot id, which all stored times refer to
-FIRST_RECORD_DELAY = (
-    0.1  # seconds to the first record; by then, in the pushed mode, the agent has been called
-)
+# Seconds to the first record; by then, in the pushed mode, the agent has been called.
+FIRST_RECORD_DELAY = 0.1
 RECORD_INTERVAL = 1.0  # seconds between records while the list is unchanged
 BOUNDS = Bounds(journal_bytes=1 << 20, journal_records=2000)
 CLOSE_TIMEOUT = 0.5  # seconds for the last record; a hung disk must not delay the exit
@@ -56,7 +55,7 @@
             Path(self._state.dir).mkdir(mode=0o700, exist_ok=True)
         disk: Disk = RealDisk(Path(self._state.dir))
         if config.disk is not None and config.disk.record:
-            from sprucenotch.seams.recorded import RecordingDisk
+            from sprucenotch.platform.recording_disk import RecordingDisk
 
             return RecordingDisk(disk, Path(config.disk.record))
         return disk
--- a/sprucenotch/recovery/writer.py
+++ b/sprucenotch/recovery/writer.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 
 from sprucenotch.node.log import event
+from sprucenotch.platform.clock import Timestamp
 from sprucenotch.recovery.records import StateRecord, fold, merge
-from sprucenotch.seams.clock import Timestamp
 from sprucenotch.store.store import Opened, Store, StoreLocked
 
 log = logging.getLogger(__name__)
--- a/sprucenotch/rig/cuts.py
+++ b/sprucenotch/rig/cuts.py
@@ -14,8 +14,8 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
+from sprucenotch.platform.disk import File
 from sprucenotch.rig.volume import Volume
-from sprucenotch.seams.disk import File
 from sprucenotch.store import frame
 from sprucenotch.store.reader import Owner, Schema
 from sprucenotch.store.store import Mode, open_store
--- a/sprucenotch/rig/volume.py
+++ b/sprucenotch/rig/volume.py
@@ -5,8 +5,8 @@
 directory changes, in their order. `crash` draws one of these outcomes by seed. After a sync that fails, the
 data that it should have written stays in doubt, as on Linux: later syncs do not write it.
 
-Operations of a real process are recorded by `seams/recorded.py` in a file, and `replay` builds from it the
-volume whose `crash` gives what a power cut at that moment would have left.
+Operations of a real process are recorded by `platform/recording_disk.py` in a file, and `replay` builds from
+it the volume whose `crash` gives what a power cut at that moment would have left.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from sprucenotch.seams.recorded import Operation
+from sprucenotch.platform.recording_disk import Operation
 
 SECTOR = 512
 
--- a/sprucenotch/store/reader.py
+++ b/sprucenotch/store/reader.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from sprucenotch.seams.disk import Disk
-from sprucenotch.seams.system_errors import is_exhaustion
+from sprucenotch.platform.disk import Disk
+from sprucenotch.platform.system_errors import is_exhaustion
 from sprucenotch.store.frame import FORMAT, MAGIC, PREAMBLE, Damage, Frame, Header, SnapshotEnd, read_frames
 
 SECOND = 1_000_000_000
--- a/sprucenotch/store/store.py
+++ b/sprucenotch/store/store.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from sprucenotch.seams.disk import Disk, File
+from sprucenotch.platform.disk import Disk, File
 from sprucenotch.store.frame import Header, SnapshotEnd, encode, file_start
 from sprucenotch.store.reader import FILE_NAME, MAX_CLOCK_AHEAD, Found, Owner, Schema, read
 
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -17,8 +17,8 @@
 from sprucenotch.node.frontend import ClientConnection
 from sprucenotch.node.serve import main
 from sprucenotch.node.telemetry import Telemetry
+from sprucenotch.platform.recording_disk import RecordingFile
 from sprucenotch.recovery import records, writer
-from sprucenotch.seams.recorded import RecordingFile
 from tests.planted_hunt import repeats_what_may_have_run
 
 CALLS_PER_FAULT = 10
--- a/tests/planted_hunt.py
+++ b/tests/planted_hunt.py
@@ -18,10 +18,10 @@
 from sprucenotch.node.host import Host
 from sprucenotch.node.pool import Pool
 from sprucenotch.node.withdrawals import Withdrawals
+from sprucenotch.platform import clock
 from sprucenotch.policy import balance
 from sprucenotch.policy.discovery import CallSchedule
 from sprucenotch.policy.engines import Engines
-from sprucenotch.seams import clock
 
 T = TypeVar("T")
 SECOND = 1_000_000_000
--- a/tests/sidecar.py
+++ b/tests/sidecar.py
@@ -19,7 +19,7 @@
 from sprucenotch.node.frontend import ClientConnection, Frontend
 from sprucenotch.node.host import Host
 from sprucenotch.node.listener import bound, listening
-from sprucenotch.seams.clock import Clock
+from sprucenotch.platform.clock import Clock
 
 Script: TypeAlias = Callable[["Seen"], Awaitable[bytes | None]]
 WAIT = 20.0  # seconds until a hanging test fails; no test depends on a shorter time
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -6,7 +6,7 @@
 
 from sprucenotch import api
 from sprucenotch.api import Health, ListKind
-from sprucenotch.seams.clock import http_date
+from sprucenotch.platform.clock import http_date
 from tests.helpers import SECOND, Bench, endpoint, settings
 
 HOUR = 3600 * SECOND
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -131,9 +131,8 @@
     [failing, *_] = b.balancer.engines.members
     failed = 0
     for member in b.balancer.engines.members.values():
-        member.in_flight += (
-            member.id != failing
-        )  # the others are busy, so that the failing idle one is chosen
+        # The others are busy, so that the failing idle one is chosen.
+        member.in_flight += member.id != failing
     for _ in range(201):
         bad = failed < 2  # two in a row, then an answer
         failed = (failed + 1) % 3
--- a/tests/test_failing_files.py
+++ b/tests/test_failing_files.py
@@ -14,7 +14,7 @@
 
 from sprucenotch.node import status
 from sprucenotch.node.log import LogHandler
-from sprucenotch.seams import clock
+from sprucenotch.platform import clock
 from tests.sidecar import always_ok, dead_dial, endpoint, request, run, sidecar
 from tests.test_management import managed
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -17,7 +17,7 @@
 from sprucenotch.node.connection import Connection
 from sprucenotch.node.frontend import MAX_PIPELINED_REQUESTS, ClientConnection
 from sprucenotch.node.pool import Pool
-from sprucenotch.seams.system_errors import ignore_failure
+from sprucenotch.platform.system_errors import ignore_failure
 from tests.sidecar import (
     SETTINGS,
     Client,
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -599,9 +599,8 @@
 def test_watch_continues_from_the_known_version_after_every_kind_of_failure(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(
-        discovery, "AGENT_HOLD_TIMEOUT_MARGIN", WAIT
-    )  # no answer counts as late on a slow machine
+    # No answer counts as late on a slow machine.
+    monkeypatch.setattr(discovery, "AGENT_HOLD_TIMEOUT_MARGIN", WAIT)
     added, drained = entry("s-1", "127.0.0.1:9"), entry("s-1", "127.0.0.1:9", "draining")
     script, calls = discovery_script(
         None, status(503), ok(b"no JSON"), ok(b"[]"), ok(b'{"seq":1,"hosts":[7]}'),
--- a/tests/test_seams.py
+++ b/tests/test_platform.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from sprucenotch.platform import clock
+from sprucenotch.platform.disk import Disk, RealDisk
+from sprucenotch.platform.recording_disk import RecordingDisk
 from sprucenotch.rig.volume import SECTOR, Volume, replay
-from sprucenotch.seams import clock
-from sprucenotch.seams.disk import Disk, RealDisk
-from sprucenotch.seams.recorded import RecordingDisk
 
 NAMES = st.sampled_from("abc")
 STEPS = st.lists(
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -14,20 +14,20 @@
 
 import pytest
 
+from sprucenotch.platform.disk import RealDisk
+from sprucenotch.platform.recording_disk import Operation, RecordingDisk
 from sprucenotch.rig import syscalls
 from sprucenotch.rig.revision import ROOT
 from sprucenotch.rig.syscalls import SHORT, Call, Control, Rule
 from sprucenotch.rig.volume import replay
-from sprucenotch.seams.disk import RealDisk
-from sprucenotch.seams.recorded import Operation, RecordingDisk
 from tests.failing_calls import needs_compiler
 
 WRITES = 20
 WRITER = """
 import contextlib, sys
 from pathlib import Path
-from sprucenotch.seams.disk import RealDisk
-from sprucenotch.seams.recorded import RecordingDisk
+from sprucenotch.platform.disk import RealDisk
+from sprucenotch.platform.recording_disk import RecordingDisk
 folder, record = map(Path, sys.argv[1:3])
 disk = RecordingDisk(RealDisk(folder), record)
 file = disk.open("journal")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -19,6 +19,7 @@
 
 from sprucenotch import api
 from sprucenotch.node.config import HostList
+from sprucenotch.platform.clock import Timestamp
 from sprucenotch.recovery import predecessor
 from sprucenotch.recovery.records import (
     FORMAT,
@@ -35,7 +36,6 @@
 from sprucenotch.rig import plan
 from sprucenotch.rig.play import Play
 from sprucenotch.rig.volume import Volume
-from sprucenotch.seams.clock import Timestamp
 from sprucenotch.store.reader import Owner
 from sprucenotch.store.store import Opened, StoreLocked, open_store
 from tests.helpers import SECOND
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,9 +12,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from sprucenotch.platform.disk import RealDisk
 from sprucenotch.rig.cuts import FORGOTTEN, MODES, explore
 from sprucenotch.rig.volume import Volume
-from sprucenotch.seams.disk import RealDisk
 from sprucenotch.store.frame import FORMAT, PREAMBLE, Header, encode, file_start
 from sprucenotch.store.reader import Owner, Schema, read
 from sprucenotch.store.store import Bounds, Store, StoreLocked, open_store
