--- a/sprucenotch/api.py
+++ b/sprucenotch/api.py
@@ -145,17 +145,17 @@
     cls: int  # index into Settings.classes
     tenant: int  # index into Settings.tenants
     key: int  # hash of its key; 0: none
-    expires: int  # time at which the client abandons this try
+    expires_at: int  # time at which the client abandons this try
     hint: int  # expected work; 0: none
     repeat: bool  # marked by the client as a repeat
-    coming: bool = False  # the body is still being received: its deadline counts from Uploaded
+    uploading: bool = False  # the body is still being received: its deadline counts from Uploaded
 
 
 class Uploaded(NamedTuple):
-    """The body of a request with `coming` set is complete."""
+    """The body of a request with `uploading` set is complete."""
 
     id: int
-    expires: int
+    expires_at: int
 
 
 class Completed(NamedTuple):
@@ -208,7 +208,7 @@
 
     id: EndpointId
     started: int  # start time by the list; the state is void after another start
-    pace: float  # its latency relative to the mean of the request classes
+    relative_latency: float  # its latency relative to the mean of the request classes
     failure_rate: float  # share of failed attempts, 0 to 1
     last_answer_age: int  # time since its last answer; -1: never
     consecutive_failures: int
@@ -233,11 +233,11 @@
     engines: tuple[LearnedEngine, ...]
     classes: tuple[LearnedClass, ...]
     histogram: dict[int, float]  # arrivals with a key, by level
-    spread: tuple[float, ...]  # arrivals without keys, by business level
+    keyless_arrivals: tuple[float, ...]  # arrivals without keys, by business level
     cut: float
-    crossing: float  # share of requests sent to other zones
+    crossing_share: float  # share of requests sent to other zones
     budget: float  # retries available
-    peak: float  # of the requests in flight
+    peak_in_flight: float  # of the requests in flight
 
 
 class Recalled(NamedTuple):
@@ -288,7 +288,7 @@
     id: int
     endpoint: EndpointId
     timeout: int  # 0: until the client gives up
-    before: int = 0  # latest time to send it, as a later repeat would run twice; 0: no limit
+    send_before: int = 0  # latest time to send it, as a later repeat would run twice; 0: no limit
 
 
 class Reason(StrEnum):
@@ -309,7 +309,7 @@
     """Final answer: refused; a retry by the client is harmless."""
 
     id: int
-    stay_away: int  # retry-after advice to the client in nanoseconds; 0: none
+    retry_after: int  # retry-after advice to the client in nanoseconds; 0: none
     why: Reason
 
 
--- a/sprucenotch/node/attempt.py
+++ b/sprucenotch/node/attempt.py
@@ -11,7 +11,7 @@
 from sprucenotch.node.connection import NEVER, Answer, Connection
 from sprucenotch.node.pool import Pool
 from sprucenotch.node.stream import Stream
-from sprucenotch.seams.system_errors import is_exhaustion
+from sprucenotch.platform.system_errors import is_exhaustion
 
 if TYPE_CHECKING:
     from sprucenotch.node.upstream import Upstream
@@ -20,11 +20,11 @@
 class Purpose(Protocol):
     """What an attempt is made for: it can cancel the attempt before the request is sent."""
 
-    def wanted(self, now: int) -> bool:
+    def may_send(self, now: int) -> bool:
         """Return whether the request may still be sent. `now` is in nanoseconds."""
         ...
 
-    def sent(self, pool: Pool) -> None:
+    def on_first_byte_sent(self, pool: Pool) -> None:
         """Called once the first byte of the request has been sent."""
         ...
 
@@ -32,10 +32,10 @@
 class AlwaysWanted:
     """A purpose that never cancels the attempt."""
 
-    def wanted(self, now: int) -> bool:
+    def may_send(self, now: int) -> bool:
         return True
 
-    def sent(self, pool: Pool) -> None:
+    def on_first_byte_sent(self, pool: Pool) -> None:
         pass
 
 
@@ -49,8 +49,8 @@
     """
 
     __slots__ = (
-        "__weakref__", "_connect", "_connection", "_done", "_eager_from", "_failed_locally", "_location",
-        "_payload", "_pool", "_purpose", "_rest", "_upload", "_upstream", "_written",
+        "__weakref__", "_connect", "_connection", "_done", "_failed_locally", "_location", "_payload",
+        "_pool", "_purpose", "_reuse_timer", "_stream_from", "_upload", "_upstream", "_written",
     )  # fmt: skip
 
     def __init__(
@@ -69,18 +69,19 @@
         self._done: Callable[[int, Answer | None], None] | None = done
         self._connection: Connection | None = None
         self._connect: asyncio.Task[None] | None = None
-        self._rest: asyncio.TimerHandle | None = None  # while it waits until an idle connection may be reused
-        self._eager_from = NEVER
+        # While it waits until an idle connection may be reused.
+        self._reuse_timer: asyncio.TimerHandle | None = None
+        self._stream_from = NEVER
         self._failed_locally = False  # whether the last connect failed on this machine
 
     def start(self) -> None:
-        connection = self._upstream.take(self._pool)
+        connection = self._upstream.take_idle(self._pool)
         if connection is not None:
             self._write(connection)
-        elif self._pool.idle and self._rest is None:  # at most one wait, bounded by REST
+        elif self._pool.idle and self._reuse_timer is None:  # at most one wait, bounded by REUSE_DELAY_NS
             self._upstream.note_reuse_wait(self._pool)
-            self._rest = self._upstream.loop.call_later(
-                self._upstream.rests(self._pool), self._on_reuse_delay_over
+            self._reuse_timer = self._upstream.loop.call_later(
+                self._upstream.reuse_timer_delay(self._pool), self._on_reuse_delay_over
             )
         elif self._upstream.ensure_capacity():
             self._connect = self._upstream.loop.create_task(self._open())
@@ -88,31 +89,31 @@
             self._end(Outcome.LOCAL_FAILURE, None)
 
     def _on_reuse_delay_over(self) -> None:
-        if not self._purpose.wanted(self._upstream.now()):
+        if not self._purpose.may_send(self._upstream.now()):
             self._end(Outcome.MOOT, None)
         elif self._pool.health != Health.READY:
             self._end(Outcome.CONNECT_FAILED, None)
         else:
             self.start()
 
-    def hasten(self, at: int) -> None:
+    def release_answers_from(self, at: int) -> None:
         """Stop holding back answers from `at` on, in nanoseconds of the monotonic clock.
 
         An answer is held back so that the request can still be retried; after `at` there is no time for
         another attempt.
         """
-        self._eager_from = at
+        self._stream_from = at
         if self._connection is not None:
-            self._connection.eager_from = at
+            self._connection.stream_from = at
 
     @property
-    def _whole(self) -> bool:
-        return self._connection is not None and self._connection.whole
+    def _fully_sent(self) -> bool:
+        return self._connection is not None and self._connection.request_sent
 
     @property
-    def partial(self) -> bool:
+    def partially_sent(self) -> bool:
         """Whether only a part of the request has been sent. Closed now, it is never executed."""
-        return self._connection is not None and not self._whole
+        return self._connection is not None and not self._fully_sent
 
     def abandon(self, outcome: int) -> None:
         """Cancel the attempt and close its connection, before anything else is done for the request.
@@ -120,10 +121,10 @@
         A request whose last byte has not been sent was never executed, so a timeout is then reported as a
         failure to connect.
         """
-        if outcome == Outcome.TIMEOUT and not self._whole:
+        if outcome == Outcome.TIMEOUT and not self._fully_sent:
             outcome = Outcome.LOCAL_FAILURE if self._failed_locally else Outcome.CONNECT_FAILED
-        if self._rest is not None:
-            self._rest.cancel()
+        if self._reuse_timer is not None:
+            self._reuse_timer.cancel()
         if self._connect is not None:
             self._connect.cancel()
         if self._connection is not None:
@@ -141,7 +142,7 @@
         self._connect = None
         if self._done is None:
             if connection is not None:
-                self._upstream.give(self._pool, connection)
+                self._upstream.release(self._pool, connection)
         elif connection is None:
             self._end(failure, None)
         else:
@@ -157,21 +158,21 @@
         removed or moved to another address, zone or cell (where retries are not deduplicated with earlier
         attempts), the client may have left, the deadline may have passed.
         """
-        wanted = self._purpose.wanted(self._upstream.now())
-        if not (wanted and self._pool.takes(connection) and self._pool.location == self._location):
-            self._upstream.give(self._pool, connection)
-            self._end(Outcome.CONNECT_FAILED if wanted else Outcome.MOOT, None)
+        may_send = self._purpose.may_send(self._upstream.now())
+        if not (may_send and self._pool.accepts(connection) and self._pool.location == self._location):
+            self._upstream.release(self._pool, connection)
+            self._end(Outcome.CONNECT_FAILED if may_send else Outcome.MOOT, None)
             return
         self._connection = connection
-        free = partial(self._upstream.give, self._pool, connection)
+        free = partial(self._upstream.release, self._pool, connection)
         if not connection.send(self._payload(), self._answered, self._written, free, self._upload):
             self._end(Outcome.CONNECT_FAILED, None)
         else:
-            connection.eager_from = self._eager_from
-            self._purpose.sent(self._pool)
+            connection.stream_from = self._stream_from
+            self._purpose.on_first_byte_sent(self._pool)
 
     def _answered(self, answer: Answer | None) -> None:
-        if answer is None and self._connection is not None and not self._connection.whole:
+        if answer is None and self._connection is not None and not self._connection.request_sent:
             self._end(Outcome.CONNECT_FAILED, None)  # closed before the last byte was sent: never executed
         else:
             self._end(outcome_of(answer), answer)
--- a/sprucenotch/node/host.py
+++ b/sprucenotch/node/host.py
@@ -20,17 +20,17 @@
 from sprucenotch.node.attempt import Attempt
 from sprucenotch.node.config import SECOND, Config, HostList
 from sprucenotch.node.connection import Answer
-from sprucenotch.node.ledger import Client, Incoming, Open
+from sprucenotch.node.ledger import Client, Incoming, OpenRequest
 from sprucenotch.node.log import AccessLog
 from sprucenotch.node.log import event as tell
 from sprucenotch.node.pool import Pool
 from sprucenotch.node.rules import Rule, Rules, may_have_run
-from sprucenotch.node.standing import MS, STATUS_EVERY, Standing, own_memory
+from sprucenotch.node.status import MS, STATUS_INTERVAL_S, StatusReport, own_memory
 from sprucenotch.node.stream import MAX_READ_SIZE, Budget, Stream
 from sprucenotch.node.telemetry import OUTCOMES, Telemetry
-from sprucenotch.node.upstream import TIMER_EARLY, Upstream
+from sprucenotch.node.upstream import MAX_TIMER_EARLY_S, Upstream
+from sprucenotch.platform.clock import Clock
 from sprucenotch.policy.balance import Balancer
-from sprucenotch.seams.clock import Clock
 
 log = logging.getLogger(__name__)
 
@@ -55,13 +55,13 @@
         self._settings = config.settings
         self._loop, self.now = loop, clock.now
         self._balancer = Balancer(config.settings, config.seed)
-        self.budget = Budget(config.bodies_most(own_memory()[1]))
+        self.budget = Budget(config.max_body_bytes(own_memory()[1]))
         self.telemetry = Telemetry()
         self.rules = Rules(self.telemetry)
         self.upstream = Upstream(config, loop, clock.now, self.count)
-        self.standing = Standing(self._balancer, self.telemetry, self.upstream, clock.now)
+        self.status_report = StatusReport(self._balancer, self.telemetry, self.upstream, clock.now)
         self._access = AccessLog(config.log.access_per_s)
-        self._open: dict[int, Open] = {}
+        self._open: dict[int, OpenRequest] = {}
         self._last_id = 0
         self._events: deque[api.Event] = deque()
         self._handling = False
@@ -76,10 +76,10 @@
         # Callbacks that are set by discovery, peers and recovery.
         self.watch: Callable[[bool], None] = lambda on: None
         self.tell: Callable[[int, bytes], None] = lambda peer, body: None
-        self.listed = False  # whether any endpoint is known yet
-        self.heard: Callable[[HostList, int], None] = lambda host_list, kind: None
+        self.has_endpoints = False  # whether any endpoint is known yet
+        self.on_host_list: Callable[[HostList, int], None] = lambda host_list, kind: None
         self._list_received = asyncio.Event()  # set once discovery has sent or confirmed the list
-        self.handed = False  # whether the previous process has handed over a fresh list
+        self.list_handed_over = False  # whether the previous process has handed over a fresh list
         self._start_deadline = self.now() + START_TIMEOUT
         self._drain_deadline: int | None = None  # set on SIGTERM: every request is answered by then
 
@@ -87,21 +87,21 @@
 
     def start(self, known: HostList) -> None:
         """Start the balancer with the host list known from before."""
-        self._schedule_status(self._loop.time() + STATUS_EVERY)
+        self._schedule_status(self._loop.time() + STATUS_INTERVAL_S)
         self.post(api.Attached())
         self.learn(known, api.ListKind.CACHED)
 
     def _schedule_status(self, due: float) -> None:
         def status() -> None:
             now = self._loop.time()
-            self._schedule_status(now + STATUS_EVERY)
-            self.standing.status(now - due)
+            self._schedule_status(now + STATUS_INTERVAL_S)
+            self.status_report.status(now - due)
 
         self._loop.call_at(due, status)
 
     def _set_classes(self) -> None:
         self._class_numbers = {c.name: number for number, c in enumerate(self._settings.classes)}
-        self.telemetry.know(self._settings.classes)
+        self.telemetry.register_classes(self._settings.classes)
 
     def retune(self, config: Config) -> None:
         """Apply changed settings to requests that arrive from now on."""
@@ -116,19 +116,19 @@
         longest = max(cls.limit for cls in self._settings.classes)
         self._drain_deadline = self.now() + min(longest, MAX_DRAIN_DEADLINE) + DRAIN_KILL_GRACE - DRAIN_MARGIN
 
-    def _expiry(self, now: int, deadline: int) -> int:
+    def _answer_deadline(self, now: int, deadline: int) -> int:
         """Return when a request that is complete now has to be answered."""
-        expires = now + deadline - DEADLINE_MARGIN if deadline > DEADLINE_MARGIN else now
-        return expires if self._drain_deadline is None else min(expires, self._drain_deadline)
+        expires_at = now + deadline - DEADLINE_MARGIN if deadline > DEADLINE_MARGIN else now
+        return expires_at if self._drain_deadline is None else min(expires_at, self._drain_deadline)
 
     def learn(self, told: HostList, kind: int) -> None:
         """Apply a host list of that `api.ListKind`."""
-        self.listed = self.listed or bool(told.hosts)
+        self.has_endpoints = self.has_endpoints or bool(told.hosts)
         if kind != api.ListKind.CACHED:
             self._list_received.set()
-        self.upstream.learn(told.hosts, whole=kind != api.ListKind.DELTA)
-        self.telemetry.keep_engines(self.upstream)
-        self.heard(told, kind)
+        self.upstream.update_hosts(told.hosts, whole=kind != api.ListKind.DELTA)
+        self.telemetry.set_listed_engines(self.upstream)
+        self.on_host_list(told, kind)
         self.post(api.EndpointList(kind, tuple(host.endpoint for host in told.hosts)))
 
     def recall(self, learned: api.Learned, age: int) -> None:
@@ -146,19 +146,19 @@
     @property
     def informed(self) -> bool:
         """Whether engines are known, from a confirmed list or because START_TIMEOUT has passed."""
-        return self.listed and self.may_take_clients
+        return self.has_endpoints and self.may_take_clients
 
     @property
     def may_take_clients(self) -> bool:
         """Whether discovery or the previous process has provided a list, or START_TIMEOUT has passed."""
-        return self._list_received.is_set() or self.handed or self.now() >= self._start_deadline
+        return self._list_received.is_set() or self.list_handed_over or self.now() >= self._start_deadline
 
-    async def until_informed(self) -> None:
+    async def wait_until_may_take_clients(self) -> None:
         """Wait until clients may be accepted. Timers can fire slightly early, so the clock is read again."""
         while not self.may_take_clients:
             seconds_left = (self._start_deadline - self.now()) / SECOND
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._list_received.wait(), seconds_left + TIMER_EARLY)
+                await asyncio.wait_for(self._list_received.wait(), seconds_left + MAX_TIMER_EARLY_S)
 
     def post(self, event: api.Event) -> None:
         """Handle an event. Events that its actions cause are queued until all its actions are done."""
@@ -195,7 +195,8 @@
     def request(
         self, client: Client, incoming: Incoming, reservation: int, upload: Stream | None = None
     ) -> None:
-        """Add a request to the ledger; its client is answered exactly once unless `gone` is called first.
+        """Add a request to the ledger; its client is answered exactly once unless `client_gone` is called
+        first.
 
         The ledger takes over `reservation`, the bytes reserved in the budget. With `upload` the body is still
         arriving: `uploaded` is called once it is complete.
@@ -203,10 +204,10 @@
         self.count("requests")
         self._last_id += 1
         rid, now = self._last_id, self.now()
-        expires = self._expiry(now, incoming.deadline)
+        expires_at = self._answer_deadline(now, incoming.deadline)
         cls = self._settings.classes[self._class_numbers[incoming.cls]]
-        request = self._open[rid] = Open(
-            rid, client, incoming, expires, self._settings.max_attempts, reservation, upload, cls.effect,
+        request = self._open[rid] = OpenRequest(
+            rid, client, incoming, expires_at, self._settings.max_attempts, reservation, upload, cls.effect,
             self._first_byte_sent,
         )  # fmt: skip
         client.id = rid
@@ -218,20 +219,20 @@
                 self._class_numbers[incoming.cls],
                 incoming.tenant,
                 incoming.key,
-                expires,
+                expires_at,
                 incoming.hint,
                 incoming.repeat,
                 request.uploading,
             )
         )
 
-    def _request_received(self, request: Open) -> None:
+    def _request_received(self, request: OpenRequest) -> None:
         """Note that the last byte of a request has arrived, and start its deadline timer."""
         request.received, request.received_at = True, self.now()
         self.telemetry.in_progress += 1
         if log.isEnabledFor(logging.DEBUG):
             tell(log, logging.DEBUG, "taken", request=request.id, req_id=request.req_id)
-        seconds_left = (request.expires - request.received_at) / SECOND
+        seconds_left = (request.expires_at - request.received_at) / SECOND
         request.deadline_timer = self._loop.call_later(seconds_left, self._at_deadline, request)
 
     def uploaded(self, rid: int) -> None:
@@ -240,21 +241,22 @@
         if request is None or request.answered:
             return
         now, request.uploading = self.now(), False
-        request.sent_at, request.expires = now, self._expiry(now, request.incoming.deadline)
-        request.attempt_deadline = request.expires
+        request.sent_at, request.expires_at = now, self._answer_deadline(now, request.incoming.deadline)
+        request.attempt_deadline = request.expires_at
         self._request_received(request)
         if request.attempt is not None:
             self._set_attempt_timeout(request, request.attempt)
-        self.post(api.Uploaded(rid, request.expires))
+        self.post(api.Uploaded(rid, request.expires_at))
 
-    def gone(self, rid: int) -> None:
+    def client_gone(self, rid: int) -> None:
         """Handle a client that left. An attempt whose request has been sent completely goes on: ending it
         would only cost a connection. One that waits for a connection ends once that is up, so that others
-        can use it (`Open.wanted`); one that is partly sent ends at once, so that the server never runs it."""
+        can use it (`OpenRequest.may_send`); one that is partly sent ends at once, so that the server never
+        runs it."""
         if (request := self._mark_answered(rid)) is not None:
             self.finish_request(rid)
             self.post(api.Gone(rid))
-            if request.attempt is not None and request.attempt.partial:
+            if request.attempt is not None and request.attempt.partially_sent:
                 request.attempt.abandon(Outcome.CANCELLED)
 
     def finish_request(self, rid: int, broken: bool = False) -> None:
@@ -279,11 +281,11 @@
         now = self.now()
         if outcome_counts is self.telemetry.passed:
             self.telemetry.latency[request.incoming.cls].observe(now - request.received_at)
-        if self._access.on and self._access.wants(now):
+        if self._access.on and self._access.should_log(now):
             self._log_access(request, now, outcome_counts)
         self._release(request)
 
-    def _log_access(self, request: Open, now: int, outcome_counts: Counter[str] | None) -> None:
+    def _log_access(self, request: OpenRequest, now: int, outcome_counts: Counter[str] | None) -> None:
         telemetry = self.telemetry
         outcomes = (
             (telemetry.passed, "served"),
@@ -306,10 +308,10 @@
         self.count("no_room")
         self.telemetry.dropped[incoming.cls] += 1
 
-    def _at_deadline(self, request: Open) -> None:
+    def _at_deadline(self, request: OpenRequest) -> None:
         request.deadline_timer = None
         # Timers have millisecond resolution, so this may be 1 ms early; the balancer must see it as expired.
-        request.expires = min(request.expires, self.now())
+        request.expires_at = min(request.expires_at, self.now())
         if request.attempt is not None:
             request.attempt.abandon(Outcome.TIMEOUT)
         if not request.answered:
@@ -318,7 +320,7 @@
             self._fail(api.Fail(request.id, api.Reason.EXPIRED))
             self.post(api.Gone(request.id))
 
-    def _release(self, request: Open) -> None:
+    def _release(self, request: OpenRequest) -> None:
         """Release memory that is no longer needed; drop a request that has finished and has no attempt."""
         active = not request.answered or request.attempt is not None
         reserved = (request.reservation if active else 0) + request.outgoing_size
@@ -332,7 +334,7 @@
         if request.finished:
             self._open.pop(request.id, None)
 
-    def _mark_answered(self, rid: int) -> Open | None:
+    def _mark_answered(self, rid: int) -> OpenRequest | None:
         """Mark a request as answered and return it; None if it already was. The caller sends the answer."""
         request = self._open.get(rid)
         if request is None or request.answered:
@@ -351,24 +353,23 @@
         if request is None or request.answered:
             self._complete_as_moot(action, request)
             return
-        body_forwarded = (
-            request.upload is not None and request.upload.started
-        )  # what was forwarded is not buffered any more
-        expired = not request.uploading and now >= request.expires
-        if body_forwarded or expired or not self.rules.may_repeat(request, action.before):
+        # What was forwarded is not buffered any more.
+        body_forwarded = request.upload is not None and request.upload.started
+        expired = not request.uploading and now >= request.expires_at
+        if body_forwarded or expired or not self.rules.may_repeat(request, action.send_before):
             self._complete_as_moot(action, request)
             return
         if request.attempts:
             self._record_retry(request, action)
         number, request.attempts = request.attempts, request.attempts + 1
-        request.sent_at, request.endpoint, request.attempt_deadline = now, action.endpoint, request.expires
-        request.retry_before = action.before
-        if self.standing.is_cold(action.endpoint):
+        request.sent_at, request.endpoint, request.attempt_deadline = now, action.endpoint, request.expires_at
+        request.retry_before = action.send_before
+        if self.status_report.is_cold(action.endpoint):
             self.count("cold_sends")
         done = partial(self._completed, request, number)
         attempt = self.upstream.attempt(
             action.endpoint,
-            partial(request.payload, self.now),
+            partial(request.request_bytes, self.now),
             done,
             partial(self._last_byte_sent, request),
             request,
@@ -382,7 +383,7 @@
             self._set_attempt_timeout(request, attempt)
         attempt.start()
 
-    def _record_retry(self, request: Open, action: api.Send) -> None:
+    def _record_retry(self, request: OpenRequest, action: api.Send) -> None:
         self.telemetry.retries[request.last_outcome] += 1
         if log.isEnabledFor(logging.DEBUG):
             tell(
@@ -391,22 +392,22 @@
                 server=self.upstream.name(action.endpoint),
             )  # fmt: skip
 
-    def _first_byte_sent(self, request: Open, pool: Pool) -> None:
+    def _first_byte_sent(self, request: OpenRequest, pool: Pool) -> None:
         """Check the rules once the first byte of an attempt has been sent."""
         self.rules.sent(request, pool, self.now())
 
-    def _set_attempt_timeout(self, request: Open, attempt: Attempt) -> None:
+    def _set_attempt_timeout(self, request: OpenRequest, attempt: Attempt) -> None:
         """Limit the attempt to the timeout that was decided, and set from when its answer is streamed."""
-        if request.timeout and request.sent_at + request.timeout < request.expires:
+        if request.timeout and request.sent_at + request.timeout < request.expires_at:
             request.attempt_deadline = request.sent_at + request.timeout
             request.attempt_timer = self._loop.call_later(
                 request.timeout / SECOND, attempt.abandon, Outcome.TIMEOUT
             )
-        attempt.hasten(
+        attempt.release_answers_from(
             time.monotonic_ns() + int((request.attempt_deadline - request.sent_at) * MAX_BUFFERING_SHARE)
         )
 
-    def _last_byte_sent(self, request: Open) -> None:
+    def _last_byte_sent(self, request: OpenRequest) -> None:
         """Count an attempt whose last byte has been sent."""
         self.telemetry.upstream_tries += 1
         if log.isEnabledFor(logging.DEBUG):
@@ -415,12 +416,12 @@
                 attempt=request.attempts, server=self.upstream.name(request.endpoint),
             )  # fmt: skip
 
-    def _complete_as_moot(self, action: api.Send, request: Open | None) -> None:
+    def _complete_as_moot(self, action: api.Send, request: OpenRequest | None) -> None:
         answered = request is None or request.answered
         number = request.attempts if request else 0
         self.post(api.Completed(action.id, number, action.endpoint, Outcome.MOOT, 0, answered, ()))
 
-    def _completed(self, request: Open, number: int, outcome: int, answer: Answer | None) -> None:
+    def _completed(self, request: OpenRequest, number: int, outcome: int, answer: Answer | None) -> None:
         request.attempt, request.last_outcome = None, outcome
         request.may_have_run = request.may_have_run or may_have_run(outcome)
         self.count(OUTCOMES[outcome])
@@ -429,20 +430,20 @@
             request.attempt_timer = None
         if outcome == Outcome.OK and answer is not None and self._mark_answered(request.id) is not None:
             request.outcome_counts = self.telemetry.passed
-            request.outgoing_size = len(answer.body) if answer.rest is None else MAX_READ_SIZE
+            request.outgoing_size = len(answer.body) if answer.body_stream is None else MAX_READ_SIZE
             if log.isEnabledFor(logging.DEBUG):
-                size = None if answer.rest is None else answer.rest.length
+                size = None if answer.body_stream is None else answer.body_stream.length
                 tell(
                     log, logging.DEBUG, "answer begins", request=request.id, req_id=request.req_id,
-                    long=answer.rest is not None, size=size,
+                    long=answer.body_stream is not None, size=size,
                 )  # fmt: skip
             request.client.serve(answer)
-        elif answer is not None and answer.rest is not None:
-            answer.rest.drop()  # the client has left in the meantime
+        elif answer is not None and answer.body_stream is not None:
+            answer.body_stream.drop()  # the client has left in the meantime
         answered = request.answered
         self._release(request)
         took, report = self.now() - request.sent_at, self.upstream.report(answer)
-        if answer is not None and answer.rest is not None:
+        if answer is not None and answer.body_stream is not None:
             # For a streamed answer, count only the time to its head, not the time it was buffered here.
             took -= time.monotonic_ns() - answer.head_time_ns
         self.telemetry.attempt_ended(request.endpoint, outcome, took)
@@ -453,7 +454,7 @@
             request.outcome_counts = self.telemetry.dropped
             self._record_refusal(request, action.why)
             self.count("refused_late" if request.attempts else "refused_unsent")
-            request.client.refuse(action.stay_away)
+            request.client.refuse(action.retry_after)
             self._release(request)
 
     def _fail(self, action: api.Fail) -> None:
@@ -463,7 +464,7 @@
             request.client.fail(request.last_outcome == Outcome.TIMEOUT)
             self._release(request)
 
-    def _record_refusal(self, request: Open, why: api.Reason) -> None:
+    def _record_refusal(self, request: OpenRequest, why: api.Reason) -> None:
         """Count and log a request that is refused or failed here."""
         self.telemetry.refusals[why] += 1
         if log.isEnabledFor(logging.DEBUG):
--- a/sprucenotch/node/peers.py
+++ b/sprucenotch/node/peers.py
@@ -12,10 +12,10 @@
 from sprucenotch import api
 from sprucenotch.node.config import Address, Config
 from sprucenotch.node.host import Host
-from sprucenotch.node.listener import BIND_TIMEOUT, bind_now
+from sprucenotch.node.listener import BIND_TIMEOUT, bind_once
 from sprucenotch.node.log import event
 from sprucenotch.node.poller import Watch, running_poller
-from sprucenotch.seams.system_errors import retried
+from sprucenotch.platform.system_errors import retry_local_failures
 
 MAX_MESSAGE_BYTES = 256
 MAX_MESSAGES_PER_TURN = 16  # received in one iteration of the event loop, before other events are handled
@@ -44,7 +44,7 @@
         for another reason.
         """
         try:
-            await retried(lambda: self._bind(address), BIND_TIMEOUT)
+            await retry_local_failures(lambda: self._bind(address), BIND_TIMEOUT)
         except OSError as problem:
             if problem.errno != errno.EADDRINUSE:
                 raise
@@ -52,10 +52,10 @@
             self._bind_task = asyncio.get_running_loop().create_task(self._bind_once_free(address))
 
     async def _bind(self, address: Address) -> None:
-        self._socket = bind_now(address, kind=socket.SOCK_DGRAM)
+        self._socket = bind_once(address, kind=socket.SOCK_DGRAM)
         self._socket.setblocking(False)
         self._watch = running_poller().watch(self._socket.fileno(), self._receive)
-        self._watch.want(select.EPOLLIN)
+        self._watch.set_events(select.EPOLLIN)
         self._host.tell = self.tell
 
     async def _bind_once_free(self, address: Address) -> None:
--- a/sprucenotch/node/standing.py
+++ b/sprucenotch/node/status.py
@@ -16,12 +16,13 @@
 from sprucenotch.policy.balance import Balancer
 from sprucenotch.policy.state import Member
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("sprucenotch.node.standing")
 
 MS = 1_000_000
 SECOND = 1000 * MS
 DISCOVERY_SILENCE = 30 * SECOND  # longer than any watch holds: discovery is down or unreachable
-STATUS_EVERY = 1.0  # seconds between status events; admission cuts and queues change within a few seconds
+# Seconds between status events; admission cuts and queues change within a few seconds.
+STATUS_INTERVAL_S = 1.0
 
 
 def own_memory() -> tuple[int, int]:
@@ -46,7 +47,7 @@
         return None
 
 
-class Standing:
+class StatusReport:
     """Reports the current state of the balancer, the connections and the process."""
 
     def __init__(
@@ -72,7 +73,7 @@
         if member.health != api.Health.READY:
             return True
         used = self._balancer.engines.subset
-        return member.out_until > self._now() and not any(member in side for side in used)
+        return member.ejected_until > self._now() and not any(member in side for side in used)
 
     def ready(self) -> str:
         """The readiness message. A process with an outdated list is still ready, and says so."""
@@ -87,12 +88,12 @@
     def decisions(self) -> dict[str, float]:
         """State of the balancer: admission cut and its inputs, engines by state, retry budget."""
         b = self._balancer
-        ready, used = (sum(map(len, sides)) for sides in (b.engines.order, b.engines.subset))
-        cold = sum(self.is_cold(member.id) for side in b.engines.order for member in side)
+        ready, used = (sum(map(len, sides)) for sides in (b.engines.ready_by_rank, b.engines.subset))
+        cold = sum(self.is_cold(member.id) for side in b.engines.ready_by_rank for member in side)
         return {
-            "cut": b.admission.cut, "cut_levels": b.admission.top,
-            "pressure": b.pressure, "pressure_over": b.over, "crossing": b.crossing,
-            "flying": b.flying, "peak": b.engines.peak, "ready": ready, "cold": cold,
+            "cut": b.admission.cut, "cut_levels": b.admission.max_level,
+            "pressure": b.pressure, "pressure_over": b.overload_threshold, "crossing": b.crossing_share,
+            "flying": b.attempts_in_flight, "peak": b.engines.peak_in_flight, "ready": ready, "cold": cold,
             "used": used, "retry_budget": b.budget,
         }  # fmt: skip
 
@@ -115,5 +116,6 @@
                 ok_ms=round(self.telemetry.mean_ok() / MS, 1), in_progress=self.telemetry.in_progress,
                 connections=self.upstream.connections, lag_ms=round(lag * 1000, 1),
                 **{name: round(value, 2) for name, value in self.decisions().items()},
-                base_ms=[round(k.base / MS) for k in b.kinds], mean_ms=[round(k.mean / MS) for k in b.kinds],
+                base_ms=[round(k.base / MS) for k in b.class_states],
+                mean_ms=[round(k.mean / MS) for k in b.class_states],
             )  # fmt: skip
--- a/sprucenotch/node/stream.py
+++ b/sprucenotch/node/stream.py
@@ -5,11 +5,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
-WHOLE_MOST = 64 * 1024  # bytes; a body up to this size is buffered, so that its request can be retried
+# Bytes; a body up to this size is buffered, so that its request can be retried.
+MAX_BUFFERED_BODY_SIZE = 64 * 1024
 MAX_READ_SIZE = 32 * 1024  # bytes per read, and so the most that a transfer buffers
 MAX_BODY_SIZE = 32 * 1024 * 1024  # bytes
 # Bytes that an answer may take before it is streamed: a buffered body and the read that exceeds it.
-ANSWER_RESERVATION = WHOLE_MOST + MAX_READ_SIZE
+ANSWER_RESERVATION = MAX_BUFFERED_BODY_SIZE + MAX_READ_SIZE
 STALL_TIMEOUT = 10.0  # seconds without progress; well-behaved peers pause for a few seconds at most
 
 # All sockets share one read buffer: input is parsed, and copied if it is kept, within the read callback.
@@ -20,12 +21,12 @@
     """The memory for all buffered bodies. It is reserved before a body is read, so that no request waits for
     memory while it holds some: without memory a request is refused."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.used = most, 0
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes, self.used = max_bytes, 0
 
     def reserve(self, size: int) -> bool:
         """Reserve so many bytes; False if they would exceed the limit."""
-        if self.used + size > self.most:
+        if self.used + size > self.max_bytes:
             return False
         self.used += size
         return True
@@ -35,7 +36,7 @@
         self.used -= size
 
 
-def nothing() -> None:
+def no_op() -> None:
     """A callback that does nothing."""
 
 
@@ -55,7 +56,7 @@
     """A body in transfer. It pauses its source while it has no sink or the sink does not keep up."""
 
     def __init__(
-        self, pause: Callable[[bool], None], length: int | None, on_drop: Callable[[], None] = nothing
+        self, pause: Callable[[bool], None], length: int | None, on_drop: Callable[[], None] = no_op
     ) -> None:
         self._pause, self._on_drop = pause, on_drop
         self.length = length  # bytes; None if unknown until the end
--- a/tests/planted_hunt.py
+++ b/tests/planted_hunt.py
@@ -13,15 +13,15 @@
 from typing import Any, TypeVar
 
 from sprucenotch.api import Effect, Reason
-from sprucenotch.node import acceptor, attempt, ledger, patience, serve, upstream
+from sprucenotch.node import acceptor, attempt, ledger, request_time_limit, serve, upstream
 from sprucenotch.node.frontend import ClientConnection
 from sprucenotch.node.host import Host
 from sprucenotch.node.pool import Pool
 from sprucenotch.node.withdrawals import Withdrawals
+from sprucenotch.platform import clock
 from sprucenotch.policy import balance
 from sprucenotch.policy.discovery import CallSchedule
 from sprucenotch.policy.engines import Engines
-from sprucenotch.seams import clock
 
 T = TypeVar("T")
 SECOND = 1_000_000_000
@@ -63,7 +63,7 @@
     async def planted(call: Callable[[], Awaitable[T]], timeout: float, failed: Any = None) -> T:
         return await call()
 
-    vars(upstream)["retried"] = planted
+    vars(upstream)["retry_local_failures"] = planted
     vars(attempt)["is_exhaustion"] = lambda problem: False
 
 
@@ -71,17 +71,17 @@
     """SIGHUP during startup ends the process."""
     import signal
 
-    load = serve.load_at_start
+    load = serve.load_with_retries
 
     def planted() -> Any:
         signal.signal(signal.SIGHUP, signal.SIG_DFL)
         return load()
 
-    serve.load_at_start = planted
+    serve.load_with_retries = planted
 
 
 def ignore_drain_while_connecting() -> None:
-    Pool.takes = lambda self, connection: connection.dial == self.dial  # type: ignore[method-assign]
+    Pool.accepts = lambda self, connection: connection.dial == self.dial  # type: ignore[method-assign]
 
 
 def delay_first_discovery_call() -> None:
@@ -89,13 +89,13 @@
 
 
 def serve_before_discovery_answered() -> None:
-    Host.informed = property(lambda self: self.listed)  # type: ignore[assignment]
+    Host.informed = property(lambda self: self.has_endpoints)  # type: ignore[assignment]
 
     async def planted(self: Host) -> None:
-        while not self.listed:
+        while not self.has_endpoints:
             await asyncio.sleep(0.01)
 
-    Host.until_informed = planted  # type: ignore[method-assign]
+    Host.wait_until_may_take_clients = planted  # type: ignore[method-assign]
 
 
 def accept_older_lists() -> None:
@@ -105,35 +105,37 @@
 def send_for_clients_that_left() -> None:
     ClientConnection.connected = lambda self: True  # type: ignore[method-assign]
     ClientConnection.eof_received = lambda self: True  # type: ignore[method-assign, assignment]
-    Host.gone = lambda self, rid: None  # type: ignore[method-assign]
+    Host.client_gone = lambda self, rid: None  # type: ignore[method-assign]
 
 
 def send_full_deadline() -> None:
-    def planted(self: ledger.Open, now: Callable[[], int]) -> bytes:
+    def planted(self: ledger.OpenRequest, now: Callable[[], int]) -> bytes:
         left = self.incoming.deadline
         return b"%sReq-Deadline: %.3f\r\n\r\n%s" % (self.incoming.head, left / SECOND, self.incoming.body)
 
-    ledger.Open.payload = planted  # type: ignore[method-assign]
+    ledger.OpenRequest.request_bytes = planted  # type: ignore[method-assign]
 
 
 def keep_stalled_clients() -> None:
-    patience.Patience.over = lambda self, passed, headed, size: False  # type: ignore[method-assign]
+    request_time_limit.RequestTimeLimit.advance = lambda self, passed, headed, size: False  # type: ignore[method-assign]
 
 
 def retry_after_window() -> None:
     def planted(request: Any, outcome: int, now: int, budget: float, overload: bool) -> Reason | None:
-        over = now >= request.expires or request.attempts >= request.tries
+        over = now >= request.expires_at or request.attempts >= request.max_attempts
         return Reason.EXPIRED if over or request.cls.effect == Effect.UNSAFE else None
 
-    vars(balance)["objection"] = planted
-    ledger.Open.wanted = lambda self, now: not self.answered  # type: ignore[method-assign]
+    vars(balance)["reason_against_retry"] = planted
+    ledger.OpenRequest.may_send = lambda self, now: not self.answered  # type: ignore[method-assign]
 
 
 def repeats_what_may_have_run() -> None:
     def planted(request: Any, outcome: int, now: int, budget: float, overload: bool) -> Reason | None:
-        return Reason.EXPIRED if request.attempts >= request.tries or now >= request.expires else None
+        return (
+            Reason.EXPIRED if request.attempts >= request.max_attempts or now >= request.expires_at else None
+        )
 
-    vars(balance)["objection"] = planted
+    vars(balance)["reason_against_retry"] = planted
     Host._send.__globals__["Rules"].may_repeat = lambda self, request, before: True
 
 
@@ -141,8 +143,8 @@
     """An attempt never sent completely counts as a timeout, which may have run."""
 
     def planted(self: attempt.Attempt, outcome: int) -> None:
-        if self._rest is not None:
-            self._rest.cancel()
+        if self._reuse_timer is not None:
+            self._reuse_timer.cancel()
         if self._connect is not None:
             self._connect.cancel()
         if self._connection is not None:
@@ -153,12 +155,12 @@
 
 
 def reuse_connections_immediately() -> None:
-    upstream.REST = 0
+    upstream.REUSE_DELAY_NS = 0
 
 
 def close_with_pipelined_requests_pending() -> None:
     """A stopping sidecar closes a connection after the first answer, in spite of pipelined requests."""
-    ClientConnection._nothing_after = lambda self, exchange: True  # type: ignore[method-assign]
+    ClientConnection._is_last_request = lambda self, exchange: True  # type: ignore[method-assign]
 
 
 def exit_immediately() -> None:
@@ -177,12 +179,12 @@
 
 def use_stepped_clock_for_start_times() -> None:
     """D: start times of servers are compared with a clock that was stepped."""
-    Engines.reckon_births = lambda self: None  # type: ignore[method-assign]
+    Engines.update_warm_up = lambda self: None  # type: ignore[method-assign]
 
 
 def ignore_kill_deadline() -> None:
     """Requests that arrive late after SIGTERM keep their whole deadline."""
-    Host._expiry = lambda self, now, deadline: now + deadline - 10_000_000  # type: ignore[method-assign]
+    Host._answer_deadline = lambda self, now, deadline: now + deadline - 10_000_000  # type: ignore[method-assign]
 
 
 def give_up_discovery() -> None:
--- a/tests/sidecar.py
+++ b/tests/sidecar.py
@@ -19,7 +19,7 @@
 from sprucenotch.node.frontend import ClientConnection, Frontend
 from sprucenotch.node.host import Host
 from sprucenotch.node.listener import bound, listening
-from sprucenotch.seams.clock import Clock
+from sprucenotch.platform.clock import Clock
 
 Script: TypeAlias = Callable[["Seen"], Awaitable[bytes | None]]
 WAIT = 20.0  # seconds until a hanging test fails; no test depends on a shorter time
@@ -198,7 +198,7 @@
 def accepting(node: Sidecar, listener: socket.socket) -> Acceptor:
     """Return an acceptor of client connections for that sidecar, set up as in the program."""
     frontend = node.frontend
-    return Acceptor(listener, partial(ClientConnection, frontend), frontend.make_room, node.host.count)
+    return Acceptor(listener, partial(ClientConnection, frontend), frontend.free_descriptor, node.host.count)
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_failing_files.py
+++ b/tests/test_failing_files.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from sprucenotch.node import standing
+from sprucenotch.node import status
 from sprucenotch.node.log import LogHandler
-from sprucenotch.seams import clock
+from sprucenotch.platform import clock
 from tests.sidecar import always_ok, dead_dial, endpoint, request, run, sidecar
 from tests.test_management import managed
 
@@ -41,7 +41,7 @@
 
 
 def test_own_memory_falls_back_to_peak_when_file_cannot_be_opened(no_files: list[str]) -> None:
-    resident, own = standing.own_memory()
+    resident, own = status.own_memory()
     assert no_files and 1_000_000 < own <= resident
 
 
@@ -80,11 +80,11 @@
     with monkeypatch.context() as patch:
         patch.setattr(builtins, "open", lambda *args, **kwargs: (_ for _ in ()).throw(OSError(errno.ENFILE)))
         with pytest.raises(OSError):
-            clock.moment(clock.Clock())
-    first = clock.moment(clock.Clock())
+            clock.current_timestamp(clock.Clock())
+    first = clock.current_timestamp(clock.Clock())
     with monkeypatch.context() as patch:
         patch.setattr(builtins, "open", lambda *args, **kwargs: (_ for _ in ()).throw(OSError(errno.ENFILE)))
-        assert clock.moment(clock.Clock()).boot == first.boot
+        assert clock.current_timestamp(clock.Clock()).boot == first.boot
 
 
 def test_unwritable_log_line_is_dropped_and_counted(
@@ -121,7 +121,7 @@
             for _ in range(3):
                 assert (await client.ask(request()))[0] == 200
             [connection] = node.frontend._connections
-            assert not connection.left and connection.connected()
+            assert not connection.used_and_idle and connection.connected()
             assert served.connections >= 3  # possibly one more, opened in the background
 
     run(test())
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -60,34 +60,37 @@
 
 def test_learned_values_follow_the_class_name() -> None:
     b = Bench(settings(CHEAP, MIDDLE))
-    for kind, mean in zip(b.balancer.kinds, (20 * MS, 70 * MS), strict=True):
+    for kind, mean in zip(b.balancer.class_states, (20 * MS, 70 * MS), strict=True):
         kind.mean = kind.base = mean
     retune(b, DEAR, MIDDLE, CHEAP)
-    assert [k.mean for k in b.balancer.kinds] == [0.0, 70 * MS, 20 * MS]
-    assert [k.business for k in b.balancer.kinds] == [2, 1, 0]
+    assert [k.mean for k in b.balancer.class_states] == [0.0, 70 * MS, 20 * MS]
+    assert [k.business_level for k in b.balancer.class_states] == [2, 1, 0]
 
 
 def test_learned_engine_state_is_kept() -> None:
     b = Bench(settings(CHEAP, MIDDLE))
     member = b.balancer.engines.members[b.sent(0).endpoint]
-    member.out_until, member.ejections, member.pace = b.now + SECOND, 2, 3.0
+    member.ejected_until, member.ejections, member.relative_latency = b.now + SECOND, 2, 3.0
     retune(b, MIDDLE)
     assert b.balancer.engines.members[member.id] is member
-    assert (member.inflight, member.ejections, member.pace) == (1, 2, 3.0)
-    assert b.balancer.flying == 1
+    assert (member.in_flight, member.ejections, member.relative_latency) == (1, 2, 3.0)
+    assert b.balancer.attempts_in_flight == 1
 
 
 def test_cut_and_histogram_move_with_class_levels() -> None:
     b = Bench(settings(CHEAP, DEAR))
     b.balancer.admission.cut = USER_LEVELS + 32.0  # the whole cheap class, a quarter of the dear one
     b.balancer.admission.histogram = {5: 2.0, USER_LEVELS + 7: 3.0}
-    b.balancer.admission.spread = [40.0, 10.0]
+    b.balancer.admission.keyless_arrivals = [40.0, 10.0]
     retune(b, CHEAP, MIDDLE, DEAR)
-    assert b.balancer.admission.cut == 2 * USER_LEVELS + 32.0 and b.balancer.admission.top == 3 * USER_LEVELS
+    assert (
+        b.balancer.admission.cut == 2 * USER_LEVELS + 32.0
+        and b.balancer.admission.max_level == 3 * USER_LEVELS
+    )
     assert b.balancer.admission.histogram == {5: 2.0, 2 * USER_LEVELS + 7: 3.0}
-    assert b.balancer.admission.spread == [40.0, 0.0, 10.0]
+    assert b.balancer.admission.keyless_arrivals == [40.0, 0.0, 10.0]
     retune(b, CHEAP, MIDDLE)  # the class at the cut was removed
-    assert b.balancer.admission.cut == 0.0 and b.balancer.admission.spread == [40.0, 0.0]
+    assert b.balancer.admission.cut == 0.0 and b.balancer.admission.keyless_arrivals == [40.0, 0.0]
 
 
 def test_zero_cut_stays_zero_when_cheaper_class_is_added() -> None:
@@ -101,21 +104,23 @@
     b = Bench(settings(CHEAP, DEAR))
     b.sent(0, key=7)
     b.balancer.admission.cut = 130.0
-    before = copy.deepcopy({k: v for k, v in vars(b.balancer).items() if k in ("histogram", "spread", "cut")})
+    before = copy.deepcopy(
+        {k: v for k, v in vars(b.balancer).items() if k in ("histogram", "keyless_arrivals", "cut")}
+    )
     retune(b, CHEAP, DEAR)
     assert {k: getattr(b.balancer, k) for k in before} == before
 
 
 def test_shortened_aim_keeps_estimates_in_range() -> None:
     b = Bench(settings(request_class(name="c", aim=800 * MS)))
-    b.balancer.kinds[0].mean = b.balancer.kinds[0].base = 100.0 * MS
+    b.balancer.class_states[0].mean = b.balancer.class_states[0].base = 100.0 * MS
     under_way = b.sent(0)
     retune(b, request_class(name="c", aim=100 * MS))
     b.tick()
     b.answer(under_way, took=300 * MS)
     for _ in range(5):
         b.tick()
-        assert abs(b.balancer.pressure) <= 2 and b.balancer.over > 0
+        assert abs(b.balancer.pressure) <= 2 and b.balancer.overload_threshold > 0
 
 
 # ---- the file
@@ -167,12 +172,12 @@
             reload = Reload(node.config, node.host, node.frontend, node.discovery)
             file.write_text(broken if isinstance(broken, str) else json.dumps(broken))
             reload.begin()
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert (figures["loads"], figures["load_errors"]) == (0, 1)
             assert reload.config is node.config and not any(isinstance(e, api.Retuned) for e in node.events)
             file.write_text(json.dumps(configuration("127.0.0.1:9")))
             reload.begin()
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert (figures["loads"], figures["load_errors"]) == (1, 1)
 
     run(test())
@@ -184,7 +189,7 @@
     async def test() -> None:
         async with sidecar("127.0.0.1:9") as node:
             Reload(node.config, node.host, node.frontend, node.discovery).begin()
-            assert node.host.standing.figures()["load_errors"] == 1
+            assert node.host.status_report.figures()["load_errors"] == 1
 
     run(test())
 
@@ -228,7 +233,7 @@
             await served.arrived.wait()
             whole = request("read", body=b"body")
             half.writer.write(whole[:-2])
-            while not any(c._headed for c in node.frontend._connections):
+            while not any(c._head_received for c in node.frontend._connections):
                 await asyncio.sleep(0.01)
             swap(node, served.dial)
             go_on.set()
@@ -238,7 +243,7 @@
             assert (await coming.ask(fresh))[2] == b"fresh"
             assert (await coming.ask(request("read")))[0] == 400
             assert (await coming.ask(request("post")))[0] == 405  # safe to retry now, so it must be a GET
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert figures["passed"] == {"read": 1, "post": 0, "fresh": 1}
 
     run(test())
@@ -284,6 +289,6 @@
             node.frontend.retune(new_config)
             node.host.retune(new_config)
             assert (await client.ask(raw[50_000:]))[0] == 503
-            assert node.host.standing.figures()["dropped"] == {"read": 0, "post": 1, "fresh": 0}
+            assert node.host.status_report.figures()["dropped"] == {"read": 0, "post": 1, "fresh": 0}
 
     run(test())
--- a/tests/test_run_time_rules.py
+++ b/tests/test_run_time_rules.py
@@ -12,7 +12,7 @@
 from sprucenotch.node import config, metrics
 from sprucenotch.node.attempt import Attempt
 from sprucenotch.node.pool import Pool
-from sprucenotch.node.rules import HOLD_UP, CloseReason, Rule
+from sprucenotch.node.rules import MAX_SEND_DELAY_NS, CloseReason, Rule
 from tests.sidecar import (
     Seen,
     always_ok,
@@ -34,7 +34,7 @@
     monkeypatch.setattr(
         "sprucenotch.node.rules.event", lambda log, level, name, **fields: events.append(fields)
     )
-    monkeypatch.setattr(Pool, "takes", lambda self, connection: True)
+    monkeypatch.setattr(Pool, "accepts", lambda self, connection: True)
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
@@ -42,14 +42,14 @@
 
             def drains_first(self: Attempt) -> None:
                 hosts = {"seq": 2, "whole": False, "hosts": [entry("s-0", served.dial, "draining")]}
-                node.host.upstream.learn(config.host_list(hosts, node.config.names).hosts, whole=False)
+                node.host.upstream.update_hosts(config.host_list(hosts, node.config.names).hosts, whole=False)
                 original(self)
 
             monkeypatch.setattr(Attempt, "start", drains_first)
             client = await node.client()
             assert (await client.ask(request()))[0] == 200
             assert node.host.telemetry.violations[Rule.SENT_WITHDRAWN] == 1
-            text = metrics.render(node.host.standing, node.host.budget)
+            text = metrics.render(node.host.status_report, node.host.budget)
             assert b'rule_violations_total{rule="sent to a server that drains or is gone"} 1' in text
 
     run(test())
@@ -62,7 +62,10 @@
 
     async def test() -> None:
         async with endpoint(always_ok) as served, sidecar(served.dial) as node:
-            for held_up, broken in ((HOLD_UP - 100_000_000, 0), (HOLD_UP + 100_000_000, 1)):
+            for held_up, broken in (
+                (MAX_SEND_DELAY_NS - 100_000_000, 0),
+                (MAX_SEND_DELAY_NS + 100_000_000, 1),
+            ):
                 before, sent = node.host.now, node.host.rules.sent
 
                 def late(asked, pool, now, sent=sent, held_up=held_up):  # type: ignore[no-untyped-def]
@@ -107,7 +110,7 @@
             client.writer.write(request())
             await served.arrived.wait()
             [connection] = node.frontend._connections
-            connection.shut(CloseReason.ROOM)
+            connection.close_connection(CloseReason.ROOM)
             assert node.host.telemetry.violations[Rule.CLOSED_OWED] == 1
 
     run(test())
@@ -162,7 +165,7 @@
                 raise TimeoutError
 
             monkeypatch.setattr("sprucenotch.node.host.asyncio.wait_for", early)
-            await node.host.until_informed()
+            await node.host.wait_until_may_take_clients()
             assert waits == 2 and node.host.may_take_clients
 
     run(test())
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -22,14 +22,14 @@
 from sprucenotch.node.exchange import Exchange
 from sprucenotch.node.frontend import REQUEST_CHECK_INTERVAL, ClientConnection, Frontend
 from sprucenotch.node.ledger import Incoming
-from sprucenotch.node.patience import BODY_CHECK_START, HEAD_TIMEOUT, MIN_BODY_RATE
+from sprucenotch.node.request_time_limit import BODY_CHECK_START, HEAD_TIMEOUT, MIN_BODY_RATE
 from sprucenotch.node.rules import Rules
 from sprucenotch.node.stream import (
     ANSWER_RESERVATION,
     MAX_BODY_SIZE,
+    MAX_BUFFERED_BODY_SIZE,
     MAX_READ_SIZE,
     READ_BUFFER,
-    WHOLE_MOST,
     Budget,
     Stream,
 )
@@ -95,7 +95,7 @@
     while node.host._open:
         await asyncio.sleep(0.01)
     assert node.host.budget.used == 0
-    assert node.host.standing.figures()["in_progress"] == 0
+    assert node.host.status_report.figures()["in_progress"] == 0
 
 
 @pytest.mark.parametrize(
@@ -104,7 +104,7 @@
         post_head(LENGTH) + LONG,
         post_head(CHUNKED) + chunked(LONG),
         post_head(CHUNKED) + chunked(LONG, trailer=TRAILER),
-        post_head(CHUNKED) + chunked(LONG[:WHOLE_MOST], trailer=TRAILER),
+        post_head(CHUNKED) + chunked(LONG[:MAX_BUFFERED_BODY_SIZE], trailer=TRAILER),
     ],
 )
 @pytest.mark.parametrize("form", ["length", "chunks", "close"])
@@ -126,13 +126,13 @@
     async def test() -> None:
         async with raw_engine(echo) as dial, sidecar(dial) as node:
             client = await node.client()
-            expected = LONG if len(sent) > len(LONG) else LONG[:WHOLE_MOST]
+            expected = LONG if len(sent) > len(LONG) else LONG[:MAX_BUFFERED_BODY_SIZE]
             for _ in range(2):  # the client's connection stays usable
                 client.writer.write(sent)
                 headers = await head_of(client.reader)
                 assert await body_of(client.reader, headers) == expected
             await wait_until_released(node)
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert figures["passed"]["post"] == figures["upstream_tries"] == 2
 
     run(test())
@@ -168,7 +168,7 @@
             headers = await head_of(client.reader)
             begun = await client.reader.readexactly(100_000)  # streamed before the answer is complete
             [pending] = node.host._open.values()
-            while node.host.now() < pending.expires + 10**8:
+            while node.host.now() < pending.expires_at + 10**8:
                 await asyncio.sleep(0.05)
             event = await node.event(lambda e: isinstance(e, api.Completed))
             assert (event.outcome, event.over) == (Outcome.OK, True)  # reported as soon as the answer begins
@@ -204,8 +204,8 @@
                 await asyncio.sleep(0.01)
             [pending] = node.host._open.values()
             assert pending.attempt is not None
-            assert time.monotonic_ns() < pending.attempt._eager_from < time.monotonic_ns() + 250_000_000
-            while time.monotonic_ns() < pending.attempt._eager_from:
+            assert time.monotonic_ns() < pending.attempt._stream_from < time.monotonic_ns() + 250_000_000
+            while time.monotonic_ns() < pending.attempt._stream_from:
                 await asyncio.sleep(0.01)
             half.set()
             await head_of(client.reader)
@@ -270,8 +270,8 @@
                     else:
                         await body_of(client.reader, headers)
             await wait_until_released(node)
-            assert node.host.standing.figures()["bad_gateway"]["read"] == 1
-            assert node.host.standing.figures()["passed"]["read"] == 0
+            assert node.host.status_report.figures()["bad_gateway"]["read"] == 1
+            assert node.host.status_report.figures()["passed"]["read"] == 0
 
     run(test())
 
@@ -295,8 +295,8 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await body_of(client.reader, headers)
             await wait_until_released(node)
-            assert node.host.standing.figures()["passed"]["read"] == 0
-            assert node.host.standing.figures()["bad_gateway"]["read"] == 1
+            assert node.host.status_report.figures()["passed"]["read"] == 0
+            assert node.host.status_report.figures()["bad_gateway"]["read"] == 1
 
     run(test())
 
@@ -405,7 +405,7 @@
             client.writer.write(LONG[200_000:])
             assert (await client.ask(request("odd")))[0] == 400
             await wait_until_released(node)
-            figures = node.host.standing.figures()
+            figures = node.host.status_report.figures()
             assert figures["upstream_tries"] == 0 and figures["dropped"]["post"] == 1
 
     run(test())
@@ -471,7 +471,7 @@
             return ok()
 
         async with endpoint(held) as served, sidecar(served.dial) as node:
-            node.host.budget.most = ANSWER_RESERVATION + 10
+            node.host.budget.max_bytes = ANSWER_RESERVATION + 10
             first, second = await node.client(), await node.client()
             first.writer.write(request())
             await served.arrived.wait()
@@ -480,7 +480,7 @@
             assert (await first.answer())[0] == 200
             await wait_until_released(node)
             assert (await second.ask(request()))[0] == 200
-            assert len(served.seen) == 2 and node.host.standing.figures()["dropped"]["read"] == 1
+            assert len(served.seen) == 2 and node.host.status_report.figures()["dropped"]["read"] == 1
 
     run(test())
 
@@ -498,7 +498,7 @@
             while any(request.attempt is not None for request in node.host._open.values()):
                 await asyncio.sleep(0.01)
             held = sum(request.reserved for request in node.host._open.values())
-            assert held == node.host.budget.used == WHOLE_MOST * len(node.host._open) > 0
+            assert held == node.host.budget.used == MAX_BUFFERED_BODY_SIZE * len(node.host._open) > 0
             client.writer.transport.abort()
             await wait_until_released(node)
 
@@ -506,14 +506,14 @@
 
 
 async def _max_buffered_answer() -> bytes:
-    return ok(b"x" * WHOLE_MOST)
+    return ok(b"x" * MAX_BUFFERED_BODY_SIZE)
 
 
 def test_body_memory_limit_allows_for_a_second_process() -> None:
     told = config.parse(configuration(limits={"memory_mb": 80}))
     own = 15_000_000
-    assert 2 * (own + told.bodies_most(own)) < told.memory
-    assert config.parse(configuration(limits={})).memory == config.MEMORY_LEAST * 1_000_000
+    assert 2 * (own + told.max_body_bytes(own)) < told.memory
+    assert config.parse(configuration(limits={})).memory == config.MIN_MEMORY_MB * 1_000_000
 
 
 class RecordingSink:
@@ -622,7 +622,7 @@
     def __init__(self) -> None:
         self.budget = Budget(10**8)
         self.rules = Rules(Telemetry())
-        self.listed = self.informed = self.answers = True
+        self.has_endpoints = self.informed = self.answers = True
         self.received: list[tuple[bytes, bytes]] = []  # method and body of each
         self.abandoned_ids: list[int] = []
         self._ids = 0
@@ -649,7 +649,7 @@
 
     def count(self, name: str) -> None: ...
 
-    def gone(self, rid: int) -> None:
+    def client_gone(self, rid: int) -> None:
         self.abandoned_ids.append(rid)
 
     def finish_request(self, rid: int, broken: bool = False) -> None: ...
@@ -689,7 +689,7 @@
         return b"".join(self.transport.written)
 
 
-SHORT, AT_LIMIT, OVER_LIMIT = b"s" * 300, b"b" * WHOLE_MOST, b"o" * (WHOLE_MOST + 1)
+SHORT, AT_LIMIT, OVER_LIMIT = b"s" * 300, b"b" * MAX_BUFFERED_BODY_SIZE, b"o" * (MAX_BUFFERED_BODY_SIZE + 1)
 FORMS = [
     (request(), b"GET", b""),
     (request("post", body=SHORT), b"POST", SHORT),
