--- a/benchmarks/failing_calls.py
+++ b/benchmarks/failing_calls.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from sprucenotch.rig.syscalls import Call, Rule
-from tests.failing_calls import Program, failures_of_a_mixed_load, program, serving_sizes
+from tests.failing_calls import Program, mixed_load_failures, program, sized_answer_sidecar
 from tests.sidecar import Client, Seen, always_ok, dead_dial, endpoint, nothing_new, ok, request
 from tests.test_program import connected
 
@@ -86,16 +86,16 @@
 
 async def while_serving(folder: Path, rules: Sequence[Rule]) -> Count:
     """The rules apply while it serves a mixed load."""
-    async with serving_sizes(folder) as sidecar:
+    async with sized_answer_sidecar(folder) as sidecar:
         apply_rules(sidecar, rules)
-        failed = await failures_of_a_mixed_load(sidecar, idle_may_close=True)
+        failed = await mixed_load_failures(sidecar, idle_may_close=True)
         check_alive(sidecar)
         return len(failed), REQUESTS
 
 
 async def while_reloading(folder: Path, rules: Sequence[Rule]) -> Count:
     """The rules apply while it serves a mixed load and reloads its configuration every 20 ms."""
-    async with serving_sizes(folder) as sidecar:
+    async with sized_answer_sidecar(folder) as sidecar:
         apply_rules(sidecar, rules)
 
         async def reload() -> None:
@@ -105,7 +105,7 @@
 
         reloading = asyncio.ensure_future(reload())
         try:
-            failed = await failures_of_a_mixed_load(sidecar, idle_may_close=True)
+            failed = await mixed_load_failures(sidecar, idle_may_close=True)
         finally:
             reloading.cancel()
         check_alive(sidecar)
--- a/benchmarks/hunt.py
+++ b/benchmarks/hunt.py
@@ -17,7 +17,7 @@
 
 import uvloop
 
-from sprucenotch.rig.hunt.campaign import Campaign, finds
+from sprucenotch.rig.hunt.campaign import Campaign, broken_rules
 from sprucenotch.rig.hunt.draw import kind, schedule
 from tests.planted_hunt import FAULTS, TRIGGERS
 
@@ -49,7 +49,7 @@
     campaign = Campaign(folder / f"{fault}.sqlite", folder / fault, length, jobs, command)
     began = time.monotonic()
     failed = uvloop.run(campaign.play(seeds, lambda job: None))
-    found = finds(campaign.rows(seeds), failed)
+    found = broken_rules(campaign.rows(seeds), failed)
     rules = Counter(find.rule for find in found)
     hits = len({find.seed for find in found if find.rule in FAULTS[fault][1]})
     return Found(len(triggering) / len(SEEDS), len(seeds), hits, rules, time.monotonic() - began)
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -17,12 +17,12 @@
 
 import uvloop
 
-from sprucenotch.rig.client import ClientCall, Clients, Ended, Kind
+from sprucenotch.rig.client import ClientCall, Clients, Kind, RequestResult
 from sprucenotch.rig.engine import Engine, Work
 from sprucenotch.rig.net.link import Link
 from sprucenotch.rig.net.relay import Relay
-from sprucenotch.rig.play import LATE_MOST, LATE_USUAL
-from sprucenotch.rig.process import allow_descriptors
+from sprucenotch.rig.play import MAX_LOAD_LAG, MAX_LOAD_LAG_P99
+from sprucenotch.rig.process import raise_descriptor_limit
 
 KIND = Kind("look", False, 2.0, 0.5)
 
@@ -36,7 +36,7 @@
     host, _, port = dial.rpartition(":")
     relay = Relay(Link("client", "engine-0"), lambda: (host, int(port)))
     relay.open()
-    ended: list[Ended] = []
+    ended: list[RequestResult] = []
     clients = Clients(relay.dial if relayed else dial, ended.append)
     rng, lateness, sent = random.Random(1), list[float](), 0
     due = time.monotonic()
@@ -59,13 +59,13 @@
     parser.add_argument("--seconds", type=float, default=3.0, help="of each rate")
     parser.add_argument("--most", type=float, default=20_000.0, help="highest rate, in requests a second")
     options = parser.parse_args()
-    allow_descriptors()
+    raise_descriptor_limit()
     for relayed in (False, True):
         print("through a relay" if relayed else "direct")
         rate, highest = 250.0, 0.0
         while rate <= options.most:
             p99, peak, served, sent = uvloop.run(play(rate, options.seconds, relayed))
-            in_time = p99 <= LATE_USUAL * 1000 and peak <= LATE_MOST * 1000 and served == sent
+            in_time = p99 <= MAX_LOAD_LAG_P99 * 1000 and peak <= MAX_LOAD_LAG * 1000 and served == sent
 
             print(
                 f" {rate:7.0f} a second: late by {p99:.1f} ms (p99), {peak:.1f} ms; {served} of {sent} served"
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -22,11 +22,11 @@
 
 import uvloop
 
-from sprucenotch.rig.client import ClientCall, Clients, Ended
+from sprucenotch.rig.client import ClientCall, Clients, RequestResult
 from sprucenotch.rig.load import kind
 from sprucenotch.rig.plan import Class, Fleet, Load, Plan
 from sprucenotch.rig.revision import ROOT, Program, Programs
-from sprucenotch.rig.stage import Stage
+from sprucenotch.rig.stage import Environment
 
 CLASSES = (
     Class(name="look", work=2_000_000, spread=0, aim=500_000_000),
@@ -53,7 +53,7 @@
     """Run a closed-loop load; the median and the 99th percentile of the latency, in milliseconds."""
     latencies: list[float] = []
 
-    def report(ended: Ended) -> None:
+    def report(ended: RequestResult) -> None:
         if ended.status != 200:
             raise SystemExit(f"a request ended with {ended.status}: the figures would mean nothing")
         latencies.append(ended.took * 1000)
@@ -91,13 +91,15 @@
     direct: list[float] = []
     tails: list[float] = []
     programs = {f"sidecar-{number}": version.program for number, version in enumerate(versions)}
-    async with Stage(plan, seed=1, programs=programs) as stage:
-        sidecars = list(zip(versions, stage.sidecars.values(), strict=True))
+    async with Environment(plan, seed=1, programs=programs) as environment:
+        sidecars = list(zip(versions, environment.sidecars.values(), strict=True))
         for number, (_, sidecar) in enumerate(sidecars):
             os.sched_setaffinity(sidecar.process.pid, {2 + number})
             await load(sidecar.listen, options.requests // 4, options.connections)  # warm-up
         for number in range(options.rounds):
-            median, tail = await load(stage.engines["engine-0"].dial, options.requests, options.connections)
+            median, tail = await load(
+                environment.engines["engine-0"].dial, options.requests, options.connections
+            )
             direct.append(median)
             tails.append(tail)
             for version, sidecar in sidecars if number % 2 else reversed(sidecars):
--- a/sprucenotch/cli/demo.py
+++ b/sprucenotch/cli/demo.py
@@ -22,7 +22,7 @@
 from sprucenotch.cli.figures import Reading, read
 from sprucenotch.cli.output import AsJson, Exit, fail, print_json
 from sprucenotch.rig.plan import CLASSES, Fleet, Load, Plan, Step
-from sprucenotch.rig.play import LATE_MOST, Play, Second
+from sprucenotch.rig.play import MAX_LOAD_LAG, PlanRun, SecondStats
 from sprucenotch.rig.process import RigError
 from sprucenotch.rig.remote import AnyEngine
 from sprucenotch.rig.summary import OUTCOMES
@@ -65,10 +65,10 @@
         raise typer.Exit(Exit.INTERRUPTED)
 
 
-async def _play(plan: Plan, seed: int, live: bool, quiet: bool) -> Play:
+async def _play(plan: Plan, seed: int, live: bool, quiet: bool) -> PlanRun:
     pending: set[asyncio.Task[None]] = set()
 
-    def each_second(second: Second) -> None:
+    def each_second(second: SecondStats) -> None:
         if live:
             task = asyncio.get_running_loop().create_task(refresh(second))
             pending.add(task)
@@ -76,15 +76,15 @@
         elif not quiet:
             print(_line(run, second), flush=True)
 
-    run = Play(plan, seed, each_second)
+    run = PlanRun(plan, seed, each_second)
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, run.interrupt)
     shown = Live(Text("starting ..."), console=Console(), auto_refresh=False)
     readings: list[Reading | None] = [None] * plan.fleet.sidecars
     switches = FaultSwitches(run.faults)
 
-    async def refresh(second: Second) -> None:
-        for number, sidecar in enumerate(run.stage.sidecars.values()):
+    async def refresh(second: SecondStats) -> None:
+        for number, sidecar in enumerate(run.environment.sidecars.values()):
             with contextlib.suppress(OSError, ValueError):  # keep showing the last reading
                 readings[number] = await asyncio.to_thread(read, sidecar.mgmt)
         shown.update(view(run, second, readings, switches.on), refresh=True)
@@ -99,7 +99,7 @@
 
 
 @contextlib.contextmanager
-def _keys(run: Play, switches: FaultSwitches) -> Iterator[None]:
+def _keys(run: PlanRun, switches: FaultSwitches) -> Iterator[None]:
     """Let keys switch faults on and off, and q stop the demo."""
     if not sys.stdin.isatty():
         yield
@@ -135,19 +135,19 @@
     return total, {outcome: counts[outcome] / max(1, total) for outcome in OUTCOMES}
 
 
-def _line(run: Play, second: Second) -> str:
+def _line(run: PlanRun, second: SecondStats) -> str:
     requests, shares = _shares(second.ended)
     outcomes = ", ".join(f"{outcome} {share:.0%}" for outcome, share in shares.items())
     trouble = f"; trouble: {run.plan.title}" if _planned(run, second) else ""
     return f"{second.at:3.0f} s  {requests:4d} requests: {outcomes}{trouble}"
 
 
-def _planned(run: Play, second: Second) -> bool:
+def _planned(run: PlanRun, second: SecondStats) -> bool:
     """Whether the fault of the --trouble option was active for most of this second."""
     return any(step.at < second.at - 0.5 < step.at + step.lasts for step in run.plan.steps)
 
 
-def _summary(run: Play) -> dict[str, Any]:
+def _summary(run: PlanRun) -> dict[str, Any]:
     return {
         "classes": {cls.name: _counts(run, cls.name) for cls in CLASSES}, "load_late_s": round(run.late, 3),
         "held_back": run.load.held_back if run.load is not None else 0, "seed": run.seed,
@@ -155,24 +155,26 @@
     }  # fmt: skip
 
 
-def _counts(run: Play, cls: str) -> dict[str, int]:
+def _counts(run: PlanRun, cls: str) -> dict[str, int]:
     return {outcome: run.total[cls, outcome] for outcome in OUTCOMES}
 
 
-def _report(run: Play) -> str:
+def _report(run: PlanRun) -> str:
     lines = ["in total:"]
     for kind in CLASSES:
         requests, shares = _shares(run.total, kind.name)
         outcomes = ", ".join(f"{outcome} {share:.1%}" for outcome, share in shares.items())
         lines.append(f"  {kind.name}: {requests} requests, {outcomes}")
-    if run.late > LATE_MOST:
+    if run.late > MAX_LOAD_LAG:
         lines.append(
             f"  this machine was too slow for the load: requests were sent up to {run.late:.2f} s late"
         )
     return "\n".join((*lines, "all processes are stopped"))
 
 
-def view(run: Play, second: Second, readings: list[Reading | None], active: list[str]) -> RenderableType:
+def view(
+    run: PlanRun, second: SecondStats, readings: list[Reading | None], active: list[str]
+) -> RenderableType:
     planned = [run.plan.title] if _planned(run, second) else []
     on = ", ".join(dict.fromkeys((*active, *planned))) or "none"
     keys = "  ".join(f"[{trouble.key}] {name}" for name, trouble in NAMED_FAULTS.items())
@@ -191,7 +193,7 @@
     return table
 
 
-def _service(second: Second) -> Table:
+def _service(second: SecondStats) -> Table:
     table = _table("service in this second, as seen by the clients", "class", "ended", *OUTCOMES)
     for kind in CLASSES:
         requests, shares = _shares(second.ended, kind.name)
@@ -205,7 +207,7 @@
     return "green" if good else "yellow" if outcome in ("served", "refused") else "red"
 
 
-def _sidecars(second: Second, readings: list[Reading | None]) -> Table:
+def _sidecars(second: SecondStats, readings: list[Reading | None]) -> Table:
     table = _table("sidecars", "number", "ready", "cut", "pressure", "used", "in progress", "memory", "CPU")
     for number, reading in enumerate(readings):
         if reading is not None:
@@ -221,10 +223,10 @@
     return table
 
 
-def _engines(run: Play, second: Second) -> Table:
+def _engines(run: PlanRun, second: SecondStats) -> Table:
     table = _table("engines", "engine", "zone", "state", "served", "holds")
     table.columns[-1].justify = "left"
-    for engine in run.stage.engines.values():
+    for engine in run.environment.engines.values():
         state = _state(engine)
         holds = Text("█" * engine.busy, "cyan") + Text("█" * (engine.held - engine.busy), "yellow")
         holds += Text("·" * max(0, BAR - engine.held), "dim")
--- a/sprucenotch/cli/figures.py
+++ b/sprucenotch/cli/figures.py
@@ -8,7 +8,7 @@
 import msgspec
 from prometheus_client.openmetrics.parser import text_string_to_metric_families
 
-from sprucenotch.rig.process import call
+from sprucenotch.rig.process import http_get
 
 Labels = tuple[str, ...]
 
@@ -38,15 +38,15 @@
 
 def read(address: str) -> Reading:
     """Read a sidecar. Raises OSError if it does not answer, ValueError if it is not a sidecar."""
-    ready, _ = call(address, "/api/ready")
-    status, body = call(address, "/api/telemetry")
+    ready, _ = http_get(address, "/api/ready")
+    status, body = http_get(address, "/api/telemetry")
     if status != 200:
         raise ValueError(f"no telemetry there: status {status}")
     try:
         telemetry = msgspec.json.decode(body, type=dict[str, Any])
     except msgspec.DecodeError:
         raise ValueError("the server there is not a sidecar") from None
-    status, metrics = call(address, "/metrics")
+    status, metrics = http_get(address, "/metrics")
     samples = {}
     if status == 200:  # earlier versions have no metrics
         for family in text_string_to_metric_families(metrics.decode()):  # type: ignore[no-untyped-call]
--- a/sprucenotch/cli/hunt.py
+++ b/sprucenotch/cli/hunt.py
@@ -12,7 +12,7 @@
 from sprucenotch.cli.rig import Jobs, Seeds, StoreFile, exit_with, parse_seeds, progress
 from sprucenotch.config import units
 from sprucenotch.rig.hunt import campaign
-from sprucenotch.rig.hunt.campaign import Campaign, Find, Total
+from sprucenotch.rig.hunt.campaign import BrokenRule, Campaign, Totals
 from sprucenotch.rig.process import RigError
 from sprucenotch.rig.sweep import Failed, Job
 
@@ -52,12 +52,12 @@
     except RigError as problem:
         exit_with(problem)
     rows = hunt_campaign.rows(wanted)
-    found = campaign.finds(rows, failed)
+    found = campaign.broken_rules(rows, failed)
     for find in found:
         print(format_find(find, lasts, command, folder))
     crashes = [failure for failure in failed if failure.crashed]
     for crash in crashes:
-        print(f"CRASHED, proves nothing: seed {crash.job.seed}: {crash.said}")
+        print(f"CRASHED, proves nothing: seed {crash.job.seed}: {crash.error}")
         print(f"  its trace and logs: {folder}/failed")
     print(summary(campaign.total(rows, failed), found))
     if interrupted:
@@ -78,7 +78,7 @@
         return uvloop.run(hunt_campaign.play(wanted, each))
 
 
-def format_find(find: Find, lasts: str, command: str, folder: Path) -> str:
+def format_find(find: BrokenRule, lasts: str, command: str, folder: Path) -> str:
     """Format a find: rule, request, time line over all processes, and the command that repeats it."""
     started = f' --command "{command}"' if command else ""
     lines = [f"BROKEN {find.rule}, seed {find.seed}, {find.times} times: {find.first.said}"]
@@ -88,7 +88,7 @@
     return "\n".join(lines)
 
 
-def summary(total: Total, found: list[Find]) -> str:
+def summary(total: Totals, found: list[BrokenRule]) -> str:
     """Format the totals of all runs."""
     faults = ", ".join(f"{name} {count}" for name, count in total.faults.most_common())
     lines = [
@@ -100,11 +100,13 @@
     for rule, count in total.judged.most_common():
         excused = total.excused[rule]
         lines.append(f"  {rule}: {count} judged, {excused} excused")
-    lines += [f"  weak check: {rule} is excused in over a fifth of the cases" for rule in total.holes()]
+    lines += [
+        f"  weak check: {rule} is excused in over a fifth of the cases" for rule in total.undertested_rules()
+    ]
     return "\n".join(lines)
 
 
-def _minimise(hunt_campaign: Campaign, find: Find, again: int, folder: Path) -> None:
+def _minimise(hunt_campaign: Campaign, find: BrokenRule, again: int, folder: Path) -> None:
     try:
         shrunk = uvloop.run(hunt_campaign.shrink(find.seed, find.rule))
         hits = uvloop.run(hunt_campaign.rate(shrunk.schedule, find.rule, again))
--- a/sprucenotch/cli/rig.py
+++ b/sprucenotch/cli/rig.py
@@ -21,7 +21,7 @@
 from sprucenotch.rig import revision as revisions
 from sprucenotch.rig import soak as soaks
 from sprucenotch.rig import sweep as sweeps
-from sprucenotch.rig.play import Play, Result, Second
+from sprucenotch.rig.play import PlanRun, Result, SecondStats
 from sprucenotch.rig.process import ProcessError, RigError
 from sprucenotch.rig.revision import Program, RevisionError
 from sprucenotch.rig.sidecar import AddressError
@@ -125,7 +125,7 @@
         keep.mkdir(parents=True, exist_ok=True)
     silent = quiet or as_json
     programs = programs_for(command, told.fleet.sidecars) if command else None
-    play = Play(
+    play = PlanRun(
         told, seed, (lambda second: None) if silent else _print_second, folder=keep, programs=programs
     )
     number = 0
@@ -133,7 +133,7 @@
         result = uvloop.run(_play(play))
         if store is not None:
             with Store(store) as kept:
-                number = kept.add(told.source, result, play.seconds, play.stage.history, play.logs)
+                number = kept.add(told.source, result, play.seconds, play.environment.history, play.logs)
     except (RigError, OSError) as problem:
         exit_with(problem)
     if as_json:
@@ -151,7 +151,7 @@
     return {f"sidecar-{number}": program for number in range(sidecars)}
 
 
-async def _play(play: Play) -> Result:
+async def _play(play: PlanRun) -> Result:
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, play.interrupt)
     return await play.run()
@@ -166,7 +166,7 @@
     return Exit.LATE if result.late else Exit.FINE
 
 
-def _print_second(second: Second) -> None:
+def _print_second(second: SecondStats) -> None:
     counts = Counter[str]()
     for (_, outcome), count in second.ended.items():
         counts[outcome] += count
@@ -229,12 +229,12 @@
     """Run the jobs that are missing in the store, and return the last valid run of each job."""
     try:
         with Store(path) as store:
-            left = sweeps.open_jobs(store, wanted)
+            left = sweeps.pending_jobs(store, wanted)
             with progress() as bar:
                 task = bar.add_task("runs", total=len(left))
                 failed = uvloop.run(sweeps.run(path, left, jobs, lambda job: bar.advance(task)))
             for one in failed:
-                print(f"sprucenotch: {one.job.plan}, seed {one.job.seed}: {one.said}", file=sys.stderr)
+                print(f"sprucenotch: {one.job.plan}, seed {one.job.seed}: {one.error}", file=sys.stderr)
             if failed:
                 raise typer.Exit(failed[0].code)
             return sweeps.rows(store, wanted)
@@ -307,13 +307,13 @@
     except RigError as problem:
         exit_with(problem)
     if as_json:
-        print_json({"first": names[0], "second": names[1], **found._asdict(), "shown": found.shown})
+        print_json({"first": names[0], "second": names[1], **found._asdict(), "shown": found.significant})
         return
     print(table(rows))
     print(
         f"worth of {names[1]} minus {names[0]}: {found.difference:+.4f}, {CONFIDENCE:.0%} interval "
         f"{found.low:+.4f} to {found.high:+.4f} over {found.pairs} paired seeds: "
-        f"{'significant difference' if found.shown else 'no significant difference'}"
+        f"{'significant difference' if found.significant else 'no significant difference'}"
     )
 
 
@@ -357,13 +357,13 @@
         told = soaks.stretch(load(plan), lasts)
     except SettingsError as problem:
         fail(Exit.BAD_INPUT, str(problem))
-    play = Play(told, seed, (lambda second: None) if as_json else _print_second)
+    play = PlanRun(told, seed, (lambda second: None) if as_json else _print_second)
     try:
         result = uvloop.run(_play(play))
         result = msgspec.structs.replace(result, findings=[*result.findings, *soaks.judge(play.seconds)])
         if store is not None:
             with Store(store) as kept:
-                kept.add(told.source, result, play.seconds, play.stage.history, play.logs)
+                kept.add(told.source, result, play.seconds, play.environment.history, play.logs)
     except (RigError, OSError) as problem:
         exit_with(problem)
     if as_json:
--- a/sprucenotch/rig/actions.py
+++ b/sprucenotch/rig/actions.py
@@ -15,11 +15,11 @@
 from sprucenotch.rig import faults
 from sprucenotch.rig.faults import Fault, OnLinks, OnProcesses
 from sprucenotch.rig.net.link import Link, LinkFault
-from sprucenotch.rig.plan import SECOND, chosen, links
+from sprucenotch.rig.plan import SECOND, matching_links, matching_processes
 from sprucenotch.rig.process import RigError
-from sprucenotch.rig.rough import RoughClients
+from sprucenotch.rig.rough import MisbehavingClients
 from sprucenotch.rig.sidecar import restart
-from sprucenotch.rig.stage import Stage
+from sprucenotch.rig.stage import Environment
 from sprucenotch.rig.syscalls import SHORT, Call, Rule
 from sprucenotch.rig.truth import history
 
@@ -36,11 +36,11 @@
     heal: Heal
 
 
-class Faults:
+class FaultInjector:
     """The faults in effect, each under its own number."""
 
-    def __init__(self, stage: Stage) -> None:
-        self.stage = stage
+    def __init__(self, environment: Environment) -> None:
+        self.environment = environment
         self.load = 1.0  # factor of the planned load
         self._number = 0
         self._active: dict[int, tuple[str, ActiveFault]] = {}
@@ -50,7 +50,7 @@
         """Inject a fault and return its number; wait for a self-ending one. Raises RigError."""
         self._number += 1
         number, do = self._number, str(fault.__struct_config__.tag)
-        rng = random.Random(f"{self.stage.seed} {number}")
+        rng = random.Random(f"{self.environment.seed} {number}")
         active_fault = await self._begin(number, fault, rng)
         self._active[number] = (do, active_fault)
         self._record(number, do, active_fault, True)
@@ -70,9 +70,9 @@
             await self.heal(number)
 
     def _record(self, number: int, do: str, active_fault: ActiveFault, on: bool) -> None:
-        self.stage.witness(
+        self.environment.on_event(
             history.Fault(
-                at=self.stage.now(), number=number, do=do, befalls=active_fault.affected,
+                at=self.environment.now(), number=number, do=do, befalls=active_fault.affected,
                 hits=active_fault.excused, on=on,
             )
         )  # fmt: skip
@@ -82,7 +82,7 @@
             return await self._on_links(number, fault)
         if isinstance(fault, OnProcesses):
             return await self._on_processes(
-                fault, _sample(chosen(fault.on, self.stage.plan.fleet), fault.share, rng)
+                fault, _sample(matching_processes(fault.on, self.environment.plan.fleet), fault.share, rng)
             )
         if isinstance(fault, faults.Discovery):
             return await self._on_discovery(fault)
@@ -90,46 +90,52 @@
         return self._surge(number, fault)
 
     async def _on_links(self, number: int, fault: OnLinks) -> ActiveFault:
-        pairs = links(fault, self.stage.plan.fleet)
-        affected, link_fault = [self.stage.wiring.links[pair] for pair in pairs], _link_fault(fault)
+        pairs = matching_links(fault, self.environment.plan.fleet)
+        affected, link_fault = [self.environment.network.links[pair] for pair in pairs], _link_fault(fault)
 
         async def heal() -> None:
-            await _in_batches(affected, lambda link: link.heal(number))
+            await _in_batches(affected, lambda link: link.remove_fault(number))
 
-        await _in_batches(affected, lambda link: link.harm(number, link_fault))
+        await _in_batches(affected, lambda link: link.add_fault(number, link_fault))
 
         names = tuple(f"{source}>{target}" for source, target in pairs)
         return ActiveFault(names, names, heal)
 
     async def _on_processes(self, fault: OnProcesses, targets: Sequence[str]) -> ActiveFault:
-        stage = self.stage
+        environment = self.environment
         match fault:
             case faults.Pause():
-                return _on_children(stage, targets, lambda c: c.pause(), lambda c: c.resume())
+                return _on_children(environment, targets, lambda c: c.pause(), lambda c: c.resume())
             case faults.SlowCpu():
-                return _on_children(stage, targets, lambda c: c.slow(fault.cpu), lambda c: c.quicken())
+                return _on_children(
+                    environment, targets, lambda c: c.slow(fault.cpu), lambda c: c.end_slowdown()
+                )
             case faults.WrongClock():
-                return _wrong_clocks(stage, fault, targets)
+                return _wrong_clocks(environment, fault, targets)
             case faults.Retune():
-                return await _retune(stage, fault, targets)
+                return await _retune(environment, fault, targets)
             case faults.Engines():
-                return await _engine_trouble(stage, fault, targets)
+                return await _engine_trouble(environment, fault, targets)
             case faults.SystemCalls():
-                return _system_calls(stage, fault, targets)
+                return _system_calls(environment, fault, targets)
             case faults.ClockStep():
-                return _clock_step(stage, fault, targets)
+                return _clock_step(environment, fault, targets)
             case faults.Reload():
-                return _staggered(stage, targets, 0, lambda name: _reload(stage, fault, name))
-            case faults.RoughClients():
-                return _rough_clients(stage, fault, targets)
+                return _staggered(environment, targets, 0, lambda name: _reload(environment, fault, name))
+            case faults.MisbehavingClients():
+                return _misbehaving_clients(environment, fault, targets)
             case faults.Restart():
-                return _staggered(stage, targets, fault.stagger, lambda name: _restart(stage, fault, name))
+                return _staggered(
+                    environment, targets, fault.stagger, lambda name: _restart(environment, fault, name)
+                )
             case faults.Replace():
-                return _staggered(stage, targets, fault.stagger, lambda name: _replace(stage, fault, name))
+                return _staggered(
+                    environment, targets, fault.stagger, lambda name: _replace(environment, fault, name)
+                )
         raise AssertionError(fault)
 
     async def _on_discovery(self, fault: faults.Discovery) -> ActiveFault:
-        discovery = self.stage.discovery
+        discovery = self.environment.discovery
         if fault.behind:
             await discovery.behind(fault.behind / SECOND)
             return ActiveFault(("discovery",), (), lambda: discovery.behind(0.0))
@@ -190,13 +196,13 @@
 
 
 def _on_children(
-    stage: Stage, targets: Sequence[str], begin: Callable[..., None], end: Callable[..., None]
+    environment: Environment, targets: Sequence[str], begin: Callable[..., None], end: Callable[..., None]
 ) -> ActiveFault:
     """Affect the processes that run now, not those started later under the same names."""
     children = []
     for name in targets:
         with contextlib.suppress(RigError):
-            children.append(stage.child(name))
+            children.append(environment.child(name))
     for child in children:
         begin(child)
 
@@ -208,83 +214,87 @@
     return ActiveFault(tuple(targets), tuple(targets), heal)
 
 
-def _wrong_clocks(stage: Stage, fault: faults.WrongClock, targets: Sequence[str]) -> ActiveFault:
+def _wrong_clocks(environment: Environment, fault: faults.WrongClock, targets: Sequence[str]) -> ActiveFault:
     clock = {"offset_ns": int(fault.ahead) - int(fault.behind), "drift_ppm": fault.drift_ppm}
-    stage.clocks.update(dict.fromkeys(targets, clock))
+    environment.clocks.update(dict.fromkeys(targets, clock))
 
     async def heal() -> None:
         for name in targets:
-            stage.clocks.pop(name, None)
+            environment.clocks.pop(name, None)
 
     return ActiveFault(tuple(targets), (), heal)
 
 
-def _system_calls(stage: Stage, fault: faults.SystemCalls, targets: Sequence[str]) -> ActiveFault:
+def _system_calls(environment: Environment, fault: faults.SystemCalls, targets: Sequence[str]) -> ActiveFault:
     """Findings are not excused meanwhile: all guarantees hold in spite of these failures."""
     call = Call[fault.call.upper()]
     error = SHORT if fault.error == "short" else int(getattr(errno, fault.error))
     for name in targets:
-        stage.controls[name].fail(Rule(call, error, fault.every))
+        environment.controls[name].fail(Rule(call, error, fault.every))
 
     async def heal() -> None:
         for name in targets:
-            stage.controls[name].heal(call)
+            environment.controls[name].heal(call)
 
     return ActiveFault(tuple(targets), (), heal)
 
 
-def _clock_step(stage: Stage, fault: faults.ClockStep, targets: Sequence[str]) -> ActiveFault:
+def _clock_step(environment: Environment, fault: faults.ClockStep, targets: Sequence[str]) -> ActiveFault:
     for name in targets:
-        stage.controls[name].step_wall_clock(int(fault.ahead) - int(fault.behind))
+        environment.controls[name].step_wall_clock(int(fault.ahead) - int(fault.behind))
 
     async def heal() -> None:
         for name in targets:
-            stage.controls[name].step_wall_clock(0)
+            environment.controls[name].step_wall_clock(0)
 
     return ActiveFault(tuple(targets), (), heal)
 
 
-async def _reload(stage: Stage, fault: faults.Reload, name: str) -> None:
+async def _reload(environment: Environment, fault: faults.Reload, name: str) -> None:
     for number in range(fault.times, 0, -1):
         if fault.broken:
-            stage.cut_off_configuration(name)
+            environment.truncate_configuration(name)
         await asyncio.sleep(fault.gap / SECOND)
-        other_attempts = stage.plan.fleet.attempts + 1
-        await stage.retune(name, None if number == 1 else other_attempts if number % 2 else None)
+        other_attempts = environment.plan.fleet.attempts + 1
+        await environment.retune(name, None if number == 1 else other_attempts if number % 2 else None)
         await asyncio.sleep(fault.gap / SECOND)
 
 
-def _rough_clients(stage: Stage, fault: faults.RoughClients, targets: Sequence[str]) -> ActiveFault:
-    rough = RoughClients(stage.plan, stage.witness, stage.origin, stage.seed)
-    dials = {name: stage.dial(name) for name in targets}
-    task = asyncio.ensure_future(rough.run(fault.how, dials, float(fault.per_second), stage.lives))
+def _misbehaving_clients(
+    environment: Environment, fault: faults.MisbehavingClients, targets: Sequence[str]
+) -> ActiveFault:
+    clients = MisbehavingClients(environment.plan, environment.on_event, environment.origin, environment.seed)
+    dials = {name: environment.dial(name) for name in targets}
+    task = asyncio.ensure_future(clients.run(fault.how, dials, float(fault.per_second), environment.lives))
 
     async def heal() -> None:
         task.cancel()
-        await rough.finish()
+        await clients.finish()
 
     return ActiveFault(tuple(targets), (), heal)
 
 
-async def _retune(stage: Stage, fault: faults.Retune, targets: Sequence[str]) -> ActiveFault:
+async def _retune(environment: Environment, fault: faults.Retune, targets: Sequence[str]) -> ActiveFault:
     async def set_attempts(attempts: int | None) -> None:
         for name in targets:
-            async with stage.locks[name]:
-                await stage.retune(name, attempts)
+            async with environment.locks[name]:
+                await environment.retune(name, attempts)
 
     await set_attempts(fault.attempts)
     return ActiveFault(tuple(targets), (), lambda: set_attempts(None))
 
 
-async def _engine_trouble(stage: Stage, fault: faults.Engines, targets: Sequence[str]) -> ActiveFault:
+async def _engine_trouble(
+    environment: Environment, fault: faults.Engines, targets: Sequence[str]
+) -> ActiveFault:
     async def set_trouble(name: str, on: bool) -> None:
-        engine, key = stage.engines[name], (name, fault.trouble)
-        stage.troubles[key] += 1 if on else -1
-        if stage.troubles[key] != int(on):  # another fault with the same effect is active
+        engine, key = environment.engines[name], (name, fault.trouble)
+        environment.troubles[key] += 1 if on else -1
+        if environment.troubles[key] != int(on):  # another fault with the same effect is active
             return
         if fault.trouble == "dead":
-            async with stage.locks[name]:
-                await (stage.engine_ends(name) if on else stage.engine_starts(name))
+            async with environment.locks[name]:
+                await (environment.kill_engine(name) if on else environment.restart_engine(name))
         elif fault.trouble == "slow":
             await engine.tune(slower=fault.times if on else 1.0)
         else:
@@ -301,13 +311,13 @@
 
 
 def _staggered(
-    stage: Stage, targets: Sequence[str], stagger: float, action: Callable[[str], Awaitable[None]]
+    environment: Environment, targets: Sequence[str], stagger: float, action: Callable[[str], Awaitable[None]]
 ) -> ActiveFault:
     """Run the action on one process after another, `stagger` nanoseconds apart; healing waits for all."""
 
     async def later(number: int, name: str) -> None:
         await asyncio.sleep(number * stagger / SECOND)
-        async with stage.locks[name]:
+        async with environment.locks[name]:
             await action(name)
 
     tasks = [asyncio.ensure_future(later(number, name)) for number, name in enumerate(targets)]
@@ -323,28 +333,28 @@
     return ActiveFault(tuple(targets), (), heal)
 
 
-async def _restart(stage: Stage, fault: faults.Restart, name: str) -> None:
+async def _restart(environment: Environment, fault: faults.Restart, name: str) -> None:
     down = fault.down / SECOND
-    if name in stage.sidecars:
-        sidecar = stage.sidecars[name]
+    if name in environment.sidecars:
+        sidecar = environment.sidecars[name]
         if fault.configured == "first":
-            stage.attempts.pop(name, None)
+            environment.attempts.pop(name, None)
         if fault.revision:
-            sidecar.program = stage.programs.program(fault.revision)
-        await restart(sidecar, fault.how, down, fault.knowing, lambda: stage.states.cut_power(name))
-    elif name in stage.engines:
-        await stage.engine_ends(name)
+            sidecar.program = environment.programs.program(fault.revision)
+        await restart(sidecar, fault.how, down, fault.knowing, lambda: environment.states.cut_power(name))
+    elif name in environment.engines:
+        await environment.kill_engine(name)
         await asyncio.sleep(down)
-        await stage.engine_starts(name)
+        await environment.restart_engine(name)
     else:
-        await stage.discovery.die()
+        await environment.discovery.die()
         await asyncio.sleep(down)
-        await stage.discovery.start()
+        await environment.discovery.start()
 
 
-async def _replace(stage: Stage, fault: faults.Replace, place: str) -> None:
-    await stage.tell(place, "draining")
+async def _replace(environment: Environment, fault: faults.Replace, place: str) -> None:
+    await environment.tell(place, "draining")
     await asyncio.sleep(fault.notice / SECOND)
-    await stage.tell(place, "removed")
-    await stage.engine_ends(place)
-    await stage.new_engine(place)
+    await environment.tell(place, "removed")
+    await environment.kill_engine(place)
+    await environment.replace_engine(place)
--- a/sprucenotch/rig/capacity.py
+++ b/sprucenotch/rig/capacity.py
@@ -12,7 +12,7 @@
 
 from sprucenotch.node.config import MEMORY_LEAST
 from sprucenotch.rig.faults import Restart
-from sprucenotch.rig.plan import Plan, chosen
+from sprucenotch.rig.plan import Plan, matching_processes
 from sprucenotch.rig.process import RigError
 
 MEGABYTE = 1_000_000
@@ -56,7 +56,7 @@
 def successors(plan: Plan) -> int:
     """The number of sidecars that may have two processes at a time."""
     upgrades = [fault for fault in plan.faults if isinstance(fault, Restart) and fault.how == "upgrade"]
-    upgraded = {name for fault in upgrades for name in chosen(fault.on, plan.fleet)}
+    upgraded = {name for fault in upgrades for name in matching_processes(fault.on, plan.fleet)}
     return sum(name.startswith("sidecar") for name in upgraded)
 
 
--- a/sprucenotch/rig/client.py
+++ b/sprucenotch/rig/client.py
@@ -19,7 +19,7 @@
 from sprucenotch.node.config import address
 from sprucenotch.rig.truth import history
 
-LISTEN_ON = 0.5  # seconds that a client waits beyond its deadline
+LATE_ANSWER_WAIT = 0.5  # seconds that a client waits beyond its deadline
 BODY = b"{}"
 
 
@@ -34,7 +34,7 @@
     unsafe: bool = False  # must not be repeated: sent as POST without a key
 
 
-class Ended(NamedTuple):
+class RequestResult(NamedTuple):
     """The result of one request."""
 
     kind: Kind
@@ -147,29 +147,29 @@
 
 
 class Clients:
-    """Sends requests to one address. `report` is called with each result, `witness` with every event."""
+    """Sends requests to one address. `report` is called with each result, `on_event` with every event."""
 
     def __init__(
         self,
         dial: str,
-        report: Callable[[Ended], None] = lambda ended: None,
+        report: Callable[[RequestResult], None] = lambda ended: None,
         name: str = "c",
         sidecar: str = "",
-        witness: Callable[[history.Event], None] = lambda event: None,
+        on_event: Callable[[history.Event], None] = lambda event: None,
         origin: float = 0.0,
         life: Callable[[], int] = lambda: 0,
         churn: float = 0.0,  # share of answers after which a connection is closed and not reused
     ) -> None:
         self._address = address(dial)
         self._report, self._name, self.sidecar = report, name, sidecar or name
-        self._witness, self._origin, self._life = witness, origin, life
+        self._on_event, self._origin, self._life = on_event, origin, life
         self._idle: deque[_Connection] = deque()
         self._number = 0
         self._churn, self._random = churn, random.Random(f"churn {name}").random
-        self._in_flight: set[asyncio.Task[Ended]] = set()
+        self._in_flight: set[asyncio.Task[RequestResult]] = set()
 
-    def send(self, call: ClientCall) -> asyncio.Task[Ended]:
-        """Start a request; it ends at most LISTEN_ON after its deadline."""
+    def send(self, call: ClientCall) -> asyncio.Task[RequestResult]:
+        """Start a request; it ends at most LATE_ANSWER_WAIT after its deadline."""
         task = asyncio.get_running_loop().create_task(self.ask(call))
         self._in_flight.add(task)
         task.add_done_callback(self._in_flight.discard)
@@ -178,17 +178,17 @@
     def _now(self) -> float:
         return time.monotonic() - self._origin
 
-    async def ask(self, call: ClientCall) -> Ended:
+    async def ask(self, call: ClientCall) -> RequestResult:
         self._number += 1
         id, began = f"{self._name}-{self._number}", self._now()
         try:
-            async with asyncio.timeout(call.kind.deadline + LISTEN_ON):
+            async with asyncio.timeout(call.kind.deadline + LATE_ANSWER_WAIT):
                 reply = await self._exchange(call, id)
         except TimeoutError:
             reply = Reply("silent")
         at, body = self._now(), reply.body.decode("latin-1")
-        self._witness(history.Ended(at=at, id=id, status=reply.status, body=body, how=reply.how))
-        ended = Ended(call.kind, reply.status, at - began, reply.retry_after)
+        self._on_event(history.Ended(at=at, id=id, status=reply.status, body=body, how=reply.how))
+        ended = RequestResult(call.kind, reply.status, at - began, reply.retry_after)
         self._report(ended)
         return ended
 
@@ -222,7 +222,7 @@
 
     def _record_sent(self, call: ClientCall, id: str, life: int, fresh: bool) -> None:
         at = self._now()
-        self._witness(
+        self._on_event(
             history.Sent(
                 at=at, id=id, call=call.name or id, cls=call.kind.name, owner=call.owner,
                 sidecar=self.sidecar, key=(call.name or id) if call.kind.keyed else "", life=life,
@@ -233,7 +233,7 @@
 
     def _surplus(self, id: str, data: bytes) -> None:
         shown = data[:200].decode("latin-1")
-        self._witness(history.Surplus(at=self._now(), sidecar=self.sidecar, id=id, data=shown))
+        self._on_event(history.Surplus(at=self._now(), sidecar=self.sidecar, id=id, data=shown))
 
     def _take_idle(self) -> _Connection | None:
         while self._idle:
--- a/sprucenotch/rig/compare.py
+++ b/sprucenotch/rig/compare.py
@@ -24,7 +24,7 @@
     high: float
 
     @property
-    def shown(self) -> bool:
+    def significant(self) -> bool:
         """Whether the difference is significant: the interval does not contain 0."""
         return self.low > 0 or self.high < 0
 
--- a/sprucenotch/rig/cuts.py
+++ b/sprucenotch/rig/cuts.py
@@ -21,7 +21,7 @@
 from sprucenotch.store.store import Mode, open_store
 
 MODES: tuple[Mode, ...] = ("none", "interval", "always")
-FORGOTTEN = ("sync", "sync names", "checksum")
+SKIPPED_STEPS = ("sync", "sync names", "checksum")
 OWNER, SCHEMA, NOW = Owner("cuts", "one"), Schema(1, bytes), 10**18
 APPENDS = 14
 KILLED_BEFORE = (7, 11)  # appends before which the process is killed and another one continues
@@ -35,15 +35,15 @@
 class PowerCutDisk:
     """A disk that loses power after a number of operations, and may skip one kind of them."""
 
-    def __init__(self, volume: Volume, operations: int, forgotten: str = "") -> None:
-        self._volume, self._left, self._forgotten = volume, operations, forgotten
+    def __init__(self, volume: Volume, operations: int, skipped: str = "") -> None:
+        self._volume, self._left, self._skipped = volume, operations, skipped
 
     def take_operation(self, operation: str) -> bool:
         """Count an operation; return whether to perform it. Raises PowerCut when none is left."""
         if self._left <= 0:
             raise PowerCut
         self._left -= 1
-        return operation != self._forgotten
+        return operation != self._skipped
 
     def names(self) -> list[str]:
         return self._volume.names()
@@ -135,19 +135,19 @@
     broken: list[str]  # a line each, with mode, cut and seed
 
 
-def explore(mode: Mode, seeds: Iterable[int], forgotten: str = "") -> Explored:
+def explore_power_cuts(mode: Mode, seeds: Iterable[int], skipped: str = "") -> Explored:
     """Cut power at each operation of the workload and in the start after it, with these seeds."""
     cases, broken, seeds = 0, list[str](), tuple(seeds)
-    with _without_checksums() if forgotten == "checksum" else contextlib.nullcontext():
+    with _without_checksums() if skipped == "checksum" else contextlib.nullcontext():
         for at in range(10_000):
             finished = False
             for seed in seeds:
                 progress, volume = Progress(), Volume()
                 with contextlib.suppress(PowerCut):
-                    run_workload(PowerCutDisk(volume, at, forgotten), mode, progress)
+                    run_workload(PowerCutDisk(volume, at, skipped), mode, progress)
                 volume.crash(seed)
                 with contextlib.suppress(PowerCut):  # the first start loses power as well
-                    open_store(PowerCutDisk(volume, seed % 13, forgotten), OWNER, SCHEMA, NOW, mode)
+                    open_store(PowerCutDisk(volume, seed % 13, skipped), OWNER, SCHEMA, NOW, mode)
                 volume.crash(seed + 1)
                 cases += 1
                 finished |= progress.finished
@@ -184,12 +184,12 @@
     seeds = range(int(sys.argv[1]) if len(sys.argv) > 1 else 100)
     wrong = 0
     for mode in MODES:
-        found = explore(mode, seeds)
+        found = explore_power_cuts(mode, seeds)
         wrong += len(found.broken)
         print(f"{mode}: {found.cases} cases, {len(found.broken)} broken", *found.broken[:5], sep="\n  ")
-    for forgotten in FORGOTTEN:
-        found = explore("always", seeds, forgotten)
-        print(f"without {forgotten}: {len(found.broken)} of {found.cases} cases are detected as broken")
+    for skipped in SKIPPED_STEPS:
+        found = explore_power_cuts("always", seeds, skipped)
+        print(f"without {skipped}: {len(found.broken)} of {found.cases} cases are detected as broken")
         wrong += not found.broken
     return int(wrong > 0)
 
--- a/sprucenotch/rig/discovery.py
+++ b/sprucenotch/rig/discovery.py
@@ -34,7 +34,7 @@
     """One service with a listener for each sidecar, since the addresses of engines may differ by sidecar."""
 
     def __init__(
-        self, witness: Callable[[Listed | Told], None] = lambda event: None, origin: float = 0.0
+        self, on_event: Callable[[Listed | Told], None] = lambda event: None, origin: float = 0.0
     ) -> None:
         self._base: dict[str, Entry] = {}  # the list at the version `_base_version`
         self._changes: list[Entry] = []  # change number n made version n + 1
@@ -43,7 +43,7 @@
         self._replica: int | None = None  # the version of the stale replica that answers, if any
         self._changed = asyncio.Event()
         self._watches: set[asyncio.Task[None]] = set()
-        self._witness, self._origin = witness, origin
+        self._on_event, self._origin = on_event, origin
         self._delay = 0.0  # seconds by which answers are delayed
         self._dials: dict[str, dict[str, str]] = {}  # by sidecar: engines that it reaches elsewhere
         self.server = Server(lambda request, respond: self._handle("", request, respond))
@@ -114,7 +114,7 @@
             self._base_version += 1
             _apply(self._base, self._changes.pop(0))
             del self._changed_at[0]
-        self._witness(
+        self._on_event(
             Listed(at=self._now(), engine=entry["host"], health=entry["health"], version=self.version)
         )
         self._wake_watches()
@@ -166,7 +166,7 @@
             await asyncio.sleep(self._delay)
         update = self._since(sidecar, version)
         if respond(response(200, msgspec.json.encode(update))) is not False:
-            self._witness(Told(at=self._now(), sidecar=sidecar, version=self.shown))
+            self._on_event(Told(at=self._now(), sidecar=sidecar, version=self.shown))
 
 
 def _apply(hosts: dict[str, Entry], change: Entry) -> None:
--- a/sprucenotch/rig/engine.py
+++ b/sprucenotch/rig/engine.py
@@ -54,7 +54,7 @@
         queue: int,
         seed: int,
         cold: WarmUp = WarmUp(),  # noqa: B008 - immutable
-        witness: Callable[[Ran], None] = lambda ran: None,
+        on_event: Callable[[Ran], None] = lambda ran: None,
         origin: float = 0.0,
     ) -> None:
         self.name, self.zone = name, zone
@@ -63,7 +63,7 @@
         self._waiting: deque[tuple[Request, Respond]] = deque()
         self._running: dict[int, Request] = {}  # by sequence number
         self._number = 0
-        self._witness, self._origin = witness, origin
+        self._on_event, self._origin = on_event, origin
         self.up = False
         self.slower = 1.0
         self.failing = self.draining = self.silent = False
@@ -127,7 +127,7 @@
         id, key = (request.headers.get(name, b"").decode() for name in (b"req-id", b"idempotency-key"))
         at = time.monotonic() - self._origin
         deadline = request.headers.get(b"req-deadline", b"").decode() if step == "taken" else ""
-        self._witness(
+        self._on_event(
             Ran(
                 at=at,
                 engine=self.name,
--- a/sprucenotch/rig/faults.py
+++ b/sprucenotch/rig/faults.py
@@ -111,7 +111,7 @@
     broken: bool = False  # truncate the configuration file before each reload
 
 
-class RoughClients(OnProcesses, frozen=True, kw_only=True, tag="clients"):
+class MisbehavingClients(OnProcesses, frozen=True, kw_only=True, tag="clients"):
     """Clients that write slowly, leave before the answer, stop writing within a request, keep idle
     connections, or send several requests at once."""
 
@@ -193,7 +193,7 @@
     str(kind.__struct_config__.tag): kind
     for kind in (
         Restart, Pause, SlowCpu, Retune, WrongClock, Cut, Delay, Rate, Reset, HalfOpen, Datagrams, Engines,
-        Replace, Discovery, Surge, SystemCalls, ClockStep, Reload, RoughClients,
+        Replace, Discovery, Surge, SystemCalls, ClockStep, Reload, MisbehavingClients,
     )
 }  # fmt: skip
 SELF_ENDING = (Restart, Replace, Reload)  # have no duration in a plan
--- a/sprucenotch/rig/hunt/campaign.py
+++ b/sprucenotch/rig/hunt/campaign.py
@@ -22,7 +22,7 @@
 MAX_EXCUSED = 0.2  # share of excused cases above which a rule counts as insufficiently checked
 
 
-class Find(NamedTuple):
+class BrokenRule(NamedTuple):
     """A rule that a run broke."""
 
     seed: int
@@ -31,7 +31,7 @@
     times: int
 
 
-class Total(Struct):
+class Totals(Struct):
     """Sums over all valid runs."""
 
     runs: int = 0
@@ -55,7 +55,7 @@
         self.judged.update(result.judged)
         self.excused.update(result.excused)
 
-    def holes(self) -> list[str]:
+    def undertested_rules(self) -> list[str]:
         """Rules with too large a share of excused cases."""
         return [
             rule for rule, count in self.excused.items() if count > MAX_EXCUSED * (count + self.judged[rule])
@@ -91,7 +91,7 @@
         Raises KeyboardInterrupt; completed runs stay in the store.
         """
         with Store(self._store) as store:
-            left = sweep.open_jobs(store, self.jobs(seeds))
+            left = sweep.pending_jobs(store, self.jobs(seeds))
         return await sweep.run(self._store, left, self._jobs, each, self._folder / "failed")
 
     def rows(self, seeds: Sequence[int]) -> list[Row]:
@@ -103,7 +103,7 @@
                     last[job.seed] = row
         return list(last.values())
 
-    async def breaks(self, planned: Sequence[Schedule], rule: str) -> list[bool]:
+    async def play_and_check(self, planned: Sequence[Schedule], rule: str) -> list[bool]:
         """Play each schedule once; return for each whether it broke the rule."""
         jobs = [self.job(one, f"trial-{next(self._trials)}") for one in planned]
         store = self._folder / f"trials-{jobs[0].plan.rpartition('-')[2]}.sqlite"
@@ -124,16 +124,16 @@
         """Reduce the schedule of a seed as long as it still breaks the rule."""
 
         async def breaks_rule(planned: Sequence[Schedule]) -> Sequence[bool]:
-            return await self.breaks(planned, rule)
+            return await self.play_and_check(planned, rule)
 
         return await shrink(schedule(seed, self._length), breaks_rule)
 
     async def rate(self, planned: Schedule, rule: str, times: int) -> int:
         """The number of plays, out of `times`, in which a schedule breaks the rule."""
-        return sum(await self.breaks([planned] * times, rule))
+        return sum(await self.play_and_check([planned] * times, rule))
 
 
-def finds(rows: Sequence[Row], failed: Sequence[Failed]) -> list[Find]:
+def broken_rules(rows: Sequence[Row], failed: Sequence[Failed]) -> list[BrokenRule]:
     """Broken rules by seed. Runs in which the testbed did not keep up are left out."""
     found = []
     for row in rows:
@@ -142,15 +142,15 @@
         by_rule: dict[str, list[Finding]] = {}
         for finding in row.result.findings:
             by_rule.setdefault(finding.rule, []).append(finding)
-        found += [Find(row.result.seed, rule, all_[0], len(all_)) for rule, all_ in by_rule.items()]
+        found += [BrokenRule(row.result.seed, rule, all_[0], len(all_)) for rule, all_ in by_rule.items()]
     for one in (one for one in failed if not one.crashed):
-        found.append(Find(one.job.seed, ENDED_EARLY, Finding(ENDED_EARLY, "", 0.0, one.said), 1))
+        found.append(BrokenRule(one.job.seed, ENDED_EARLY, Finding(ENDED_EARLY, "", 0.0, one.error), 1))
     return sorted(found, key=lambda find: find.seed)
 
 
-def total(rows: Sequence[Row], failed: Sequence[Failed] = ()) -> Total:
+def total(rows: Sequence[Row], failed: Sequence[Failed] = ()) -> Totals:
     """Sum up all runs."""
-    added = Total()
+    added = Totals()
     for one in failed:
         added.not_played[CRASHED if one.crashed else ENDED_EARLY] += 1
     for row in rows:
--- a/sprucenotch/rig/load.py
+++ b/sprucenotch/rig/load.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import NamedTuple
 
-from sprucenotch.rig.client import ClientCall, Clients, Ended, Kind
+from sprucenotch.rig.client import ClientCall, Clients, Kind, RequestResult
 from sprucenotch.rig.plan import SECOND, Class, Plan
 
 MAX_IN_FLIGHT = 2000  # calls; further arrivals are skipped, to bound the memory of the testbed
@@ -57,13 +57,13 @@
         seed: int,
         clients: Mapping[str, Clients],
         rate_factor: Callable[[], float],
-        report: Callable[[Ended], None],
+        report: Callable[[RequestResult], None],
     ) -> None:
         self.plan, self._clients, self._report = plan, clients, report
         self._arrivals = arrivals(plan, seed, rate_factor)
         self._rng = random.Random(f"repeats {seed}")
         self._tasks: set[asyncio.Task[None]] = set()
-        self.late: list[float] = []  # seconds by which each request was sent late
+        self.lateness: list[float] = []  # seconds by which each request was sent late
         self.held_back = 0
 
     async def run(self, until: float) -> None:
@@ -76,7 +76,7 @@
             now = time.monotonic()
             if due > now:
                 await asyncio.sleep(due - now)
-            self.late.append(max(0.0, time.monotonic() - due))
+            self.lateness.append(max(0.0, time.monotonic() - due))
             if len(self._tasks) >= MAX_IN_FLIGHT:
                 self.held_back += 1
                 continue
--- a/sprucenotch/rig/nemesis.py
+++ b/sprucenotch/rig/nemesis.py
@@ -7,7 +7,7 @@
 from sprucenotch.rig.faults import SELF_ENDING
 from sprucenotch.rig.plan import SECOND, Plan, Step
 
-OWN_TIME = 2.0  # seconds that a fault which ends by itself counts as active
+SELF_ENDING_DURATION = 2.0  # seconds that a fault which ends by itself counts as active
 
 
 def steps(plan: Plan, seed: int) -> tuple[Step, ...]:
@@ -21,13 +21,13 @@
     at, end = nemesis.start / SECOND, nemesis.end / SECOND
     while True:
         at += rng.expovariate(SECOND / nemesis.every)
-        fault = rng.choice(plan.drawn_from)
+        fault = rng.choice(plan.nemesis_faults)
         lasts = rng.uniform(nemesis.shortest / SECOND, nemesis.longest / SECOND)
         if at + nemesis.shortest / SECOND >= end:
             break
         ends_itself = isinstance(fault, SELF_ENDING)
-        lasts = min(OWN_TIME if ends_itself else lasts, end - at)
-        overlapping = [s for s in drawn if s.at + (s.lasts or OWN_TIME) > at]
+        lasts = min(SELF_ENDING_DURATION if ends_itself else lasts, end - at)
+        overlapping = [s for s in drawn if s.at + (s.lasts or SELF_ENDING_DURATION) > at]
         if len(overlapping) < nemesis.at_once:
             drawn.append(Step(at, fault, 0.0 if ends_itself else lasts))
     return tuple(sorted((*plan.steps, *drawn), key=lambda step: step.at))
--- a/sprucenotch/rig/net/link.py
+++ b/sprucenotch/rig/net/link.py
@@ -84,12 +84,12 @@
     def conditions(self, direction: Direction) -> Conditions:
         return self.there if direction == "there" else self.back
 
-    def harm(self, number: int, fault: LinkFault) -> None:
+    def add_fault(self, number: int, fault: LinkFault) -> None:
         """Add a fault, or replace the one of that number."""
         self._faults[number] = fault
         self._update()
 
-    def heal(self, number: int) -> None:
+    def remove_fault(self, number: int) -> None:
         """Remove the fault of that number, if it is still active; others stay."""
         if self._faults.pop(number, None) is not None:
             self._update()
--- a/sprucenotch/rig/plan.py
+++ b/sprucenotch/rig/plan.py
@@ -145,13 +145,13 @@
     classes: tuple[Class, ...]
     steps: tuple[Step, ...] = ()
     nemesis: Nemesis | None = None
-    drawn_from: tuple[Fault, ...] = ()  # by the nemesis
+    nemesis_faults: tuple[Fault, ...] = ()  # by the nemesis
     source: str = ""  # the file's text
 
     @property
     def faults(self) -> tuple[Fault, ...]:
         """All faults that can occur in a run."""
-        return (*(step.fault for step in self.steps), *self.drawn_from)
+        return (*(step.fault for step in self.steps), *self.nemesis_faults)
 
     @property
     def rate(self) -> float:
@@ -173,14 +173,14 @@
     steps_raw, nemesis_raw = top.pop("step", []), top.pop("nemesis", None)
     values = toml.translate(top, _PlanFile, "", found)
     steps = [_step(step, f"step[{n}]", found) for n, step in enumerate(_tables(steps_raw, "step", found))]
-    nemesis, drawn_from = _nemesis(nemesis_raw, found) if nemesis_raw is not None else (None, ())
+    nemesis, nemesis_faults = _nemesis(nemesis_raw, found) if nemesis_raw is not None else (None, ())
     if found:
         raise SettingsError(found)
     plan_file = settings.typed(values, _PlanFile, "")
     plan = Plan(
         plan_file.title, plan_file.length / SECOND, plan_file.settle / SECOND, plan_file.fleet,
         plan_file.load, plan_file.classes,
-        tuple(sorted((s for s in steps if s is not None), key=lambda step: step.at)), nemesis, drawn_from,
+        tuple(sorted((s for s in steps if s is not None), key=lambda step: step.at)), nemesis, nemesis_faults,
         raw.decode(),
     )  # fmt: skip
     if problems := list(_inconsistencies(plan)):
@@ -260,7 +260,7 @@
     return settings.typed(values, Nemesis, "nemesis"), tuple(f for f in faults if f is not None)
 
 
-def names(fleet: Fleet) -> dict[str, str]:
+def process_zones(fleet: Fleet) -> dict[str, str]:
     """The names of all processes that faults can target, each with its zone or an empty string."""
     zones = fleet.zones
     return {
@@ -270,22 +270,22 @@
     }  # fmt: skip
 
 
-def chosen(pattern: Pattern, fleet: Fleet) -> tuple[str, ...]:
+def matching_processes(pattern: Pattern, fleet: Fleet) -> tuple[str, ...]:
     """The names of the processes that match a pattern, in order."""
     name, _, zone = pattern.partition("@")
     return tuple(
         known
-        for known, where in names(fleet).items()
+        for known, where in process_zones(fleet).items()
         if fnmatch.fnmatchcase(known, name) and zone in ("", where)
     )
 
 
-def links(fault: OnLinks, fleet: Fleet) -> tuple[tuple[str, str], ...]:
+def matching_links(fault: OnLinks, fleet: Fleet) -> tuple[tuple[str, str], ...]:
     """The existing links that match a fault, as pairs of source and target."""
-    targets = chosen(fault.target, fleet)
+    targets = matching_processes(fault.target, fleet)
     return tuple(
         (source, target)
-        for source in chosen(fault.source, fleet)
+        for source in matching_processes(fault.source, fleet)
         for target in targets
         if _link_exists(source, target)
     )
@@ -326,7 +326,7 @@
 def _target_errors(fault: Fault, fleet: Fleet) -> list[Problem]:
     do = str(fault.__struct_config__.tag)
     if isinstance(fault, OnLinks):
-        pairs = links(fault, fleet)
+        pairs = matching_links(fault, fleet)
         between = f"{fault.source} to {fault.target}"
         if not pairs:
             return [Problem(do, f"matches no link from {between}")]
@@ -334,7 +334,7 @@
             return [Problem(do, f"matches a link from {between}, but fleet.peers is false")]
     elif isinstance(fault, OnProcesses):
         allowed = ALLOWED_TARGETS.get(do, ("sidecar", "engine", "discovery"))
-        hit = chosen(fault.on, fleet)
+        hit = matching_processes(fault.on, fleet)
         if not hit:
             return [Problem(do, f"matches no process: {fault.on!r}")]
         if wrong := [name for name in hit if name.partition("-")[0] not in allowed]:
--- a/sprucenotch/rig/play.py
+++ b/sprucenotch/rig/play.py
@@ -15,26 +15,26 @@
 from msgspec import Struct
 
 from sprucenotch.rig import nemesis, revision
-from sprucenotch.rig.actions import Faults
-from sprucenotch.rig.client import Clients, Ended
+from sprucenotch.rig.actions import FaultInjector
+from sprucenotch.rig.client import Clients, RequestResult
 from sprucenotch.rig.faults import Retune
 from sprucenotch.rig.load import Load
 from sprucenotch.rig.plan import SECOND, Plan, Step
-from sprucenotch.rig.process import ProcessError, RigError, call
+from sprucenotch.rig.process import ProcessError, RigError, http_get
 from sprucenotch.rig.revision import Program
-from sprucenotch.rig.stage import Stage
+from sprucenotch.rig.stage import Environment
 from sprucenotch.rig.summary import Summary, summarize
 from sprucenotch.rig.truth import checks, more_checks, recovery
 from sprucenotch.rig.truth.history import Event, Figures, Lag, Process
 from sprucenotch.rig.truth.ledger import MIN_LAG, Finding, Invariant, Ledger, Rules, Terms
 
 LAG_INTERVAL = 0.01  # seconds between measurements of the testbed's own lag
-LATE_MOST = 0.25  # seconds; a load that lags more does not match the plan
-LATE_USUAL = 0.02  # seconds, at the 99th percentile
+MAX_LOAD_LAG = 0.25  # seconds; a load that lags more does not match the plan
+MAX_LOAD_LAG_P99 = 0.02  # seconds, at the 99th percentile
 IDLE_TIMEOUT = 2.0  # seconds for a sidecar to finish the requests in progress
 
 
-class Second(Struct, frozen=True):
+class SecondStats(Struct, frozen=True):
     """Measurements of one second of a run."""
 
     at: float  # seconds since the first request
@@ -65,28 +65,30 @@
     @property
     def late(self) -> bool:
         """Whether the testbed could not keep up, so that the result says nothing about the program."""
-        return bool(self.held_back or self.lateness["p99"] > LATE_USUAL or self.lateness["most"] > LATE_MOST)
+        return bool(
+            self.held_back or self.lateness["p99"] > MAX_LOAD_LAG_P99 or self.lateness["most"] > MAX_LOAD_LAG
+        )
 
 
-class Play:
+class PlanRun:
     """One run of a plan. `each_second` is called with the measurements of each second."""
 
     def __init__(
         self,
         plan: Plan,
         seed: int,
-        each_second: Callable[[Second], None] = lambda second: None,
+        each_second: Callable[[SecondStats], None] = lambda second: None,
         invariants: Sequence[Invariant] | None = None,
         folder: Path | None = None,
         programs: Mapping[str, Program] | None = None,
     ) -> None:
         self.plan, self.seed, self._each_second = plan, seed, each_second
         self._invariants = checks.standard_invariants() if invariants is None else invariants
-        self.stage = Stage(plan, seed, folder, programs)
-        self.faults = Faults(self.stage)
+        self.environment = Environment(plan, seed, folder, programs)
+        self.faults = FaultInjector(self.environment)
         self.total: Counter[tuple[str, str]] = Counter()
         self.load: Load | None = None
-        self.seconds: list[Second] = []
+        self.seconds: list[SecondStats] = []
         self.logs: dict[str, str] = {}
         self.stopped = asyncio.Event()
         self.interrupted = False
@@ -102,9 +104,9 @@
     @property
     def late(self) -> float:
         """The maximum lag of the load, in seconds."""
-        return max(self.load.late, default=0.0) if self.load is not None else 0.0
+        return max(self.load.lateness, default=0.0) if self.load is not None else 0.0
 
-    def _count_ended(self, ended: Ended) -> None:
+    def _count_ended(self, ended: RequestResult) -> None:
         self._recent[ended.kind.name, ended.outcome] += 1
 
     async def run(self) -> Result:
@@ -112,14 +114,14 @@
 
         All processes have ended when this returns or raises.
         """
-        async with self.stage as stage:
+        async with self.environment as environment:
             clients = {
                 name: Clients(
-                    stage.dial(name), name=f"c{number}", sidecar=name, witness=stage.witness,
-                    origin=stage.origin, life=lambda name=name: stage.sidecars[name].life,  # type: ignore[misc]
+                    environment.dial(name), name=f"c{number}", sidecar=name, on_event=environment.on_event,
+                    origin=environment.origin, life=lambda name=name: environment.sidecars[name].life,  # type: ignore[misc]
                     churn=float(self.plan.load.churn),
                 )
-                for number, name in enumerate(stage.sidecars)
+                for number, name in enumerate(environment.sidecars)
             }  # fmt: skip
             self.load = Load(self.plan, self.seed, clients, lambda: self.faults.load, self._count_ended)
             self.began = time.monotonic()
@@ -129,18 +131,18 @@
                 await self._record_telemetry()
             finally:
                 lag.cancel()
-                self.logs = stage.logs()
+                self.logs = environment.logs()
                 started = {
                     (e.name, e.life): e.at
-                    for e in stage.history
+                    for e in environment.history
                     if isinstance(e, Process) and e.what == "started"
                 }
-                stage.history += recovery.restored_states(self.logs, started)
-                stage.history += more_checks.logged_faults(self.logs, started)
+                environment.history += recovery.restored_states(self.logs, started)
+                environment.history += more_checks.logged_faults(self.logs, started)
                 if self.plan.fleet.log == "debug":
-                    stage.history += list(stage.sent_attempts())
+                    environment.history += list(environment.sent_attempts())
         self.total += self._recent
-        return self._result(stage.history)
+        return self._result(environment.history)
 
     async def _run_tasks(self, load: Load) -> None:
         """Run load, faults and measurements concurrently; a failure of one cancels the others."""
@@ -184,20 +186,20 @@
 
     async def _measure(self, end: float) -> None:
         """Take the measurements of each second until the end. Raises Stopped on an interrupt."""
-        stage = self.stage
+        environment = self.environment
         served, cpu, previous = self._served(), self._cpu(), self.began
         while (now := time.monotonic()) < end and not self.stopped.is_set():
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.stopped.wait(), min(1.0, end - now))
-            for sidecar in stage.sidecars.values():
+            for sidecar in environment.sidecars.values():
                 sidecar.check()
             now, recent, self._recent = time.monotonic(), self._recent, Counter()
             self.total += recent
             served_before, served = served, self._served()
             cpu_before, cpu = cpu, self._cpu()
-            second = Second(
+            second = SecondStats(
                 now - self.began, recent, {n: c - served_before.get(n, 0) for n, c in served.items()},
-                {place: one.held for place, one in stage.engines.items()},
+                {place: one.held for place, one in environment.engines.items()},
                 {n: (c - cpu_before.get(n, c)) / 1e9 / (now - previous) for n, c in cpu.items()},
                 await self._gauges(),
             )  # fmt: skip
@@ -208,20 +210,20 @@
             raise Stopped
 
     def _served(self) -> dict[str, int]:
-        return {one.name: one.served for one in self.stage.engines.values()}
+        return {one.name: one.served for one in self.environment.engines.values()}
 
     def _cpu(self) -> dict[str, int]:
         found = {}
-        for name, sidecar in self.stage.sidecars.items():
+        for name, sidecar in self.environment.sidecars.items():
             with contextlib.suppress(OSError):
                 found[name] = sidecar.process.cpu()
         return found
 
     async def _gauges(self) -> dict[str, dict[str, float]]:
         """Metrics of the sidecars, without those that do not answer at once."""
-        names = list(self.stage.sidecars)
+        names = list(self.environment.sidecars)
         results = await asyncio.gather(
-            *(asyncio.to_thread(_read_gauges, self.stage.sidecars[n]) for n in names)
+            *(asyncio.to_thread(_read_gauges, self.environment.sidecars[n]) for n in names)
         )
         return {name: gauges for name, gauges in zip(names, results, strict=True) if gauges}
 
@@ -232,24 +234,26 @@
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             now = time.monotonic()
             if now - due >= MIN_LAG:
-                self.stage.witness(Lag(at=self.stage.now(), late=now - due))
+                self.environment.on_event(Lag(at=self.environment.now(), late=now - due))
             due = now + LAG_INTERVAL
 
     async def _record_telemetry(self) -> None:
         """Record the telemetry of each sidecar once it has no request in progress."""
-        for name, sidecar in self.stage.sidecars.items():
+        for name, sidecar in self.environment.sidecars.items():
             sidecar.check()
             until = time.monotonic() + IDLE_TIMEOUT
             while True:
                 try:
-                    status, body = await asyncio.to_thread(call, sidecar.mgmt, "/api/telemetry", 2.0)
+                    status, body = await asyncio.to_thread(http_get, sidecar.mgmt, "/api/telemetry", 2.0)
                 except OSError as problem:
                     raise ProcessError(f"{name} does not return its telemetry: {problem}") from None
                 telemetry = msgspec.json.decode(body) if status == 200 else {}
                 if telemetry.get("in_progress") == 0 or time.monotonic() > until:
                     break
                 await asyncio.sleep(0.05)
-            self.stage.witness(Figures(at=self.stage.now(), sidecar=name, life=sidecar.life, told=telemetry))
+            self.environment.on_event(
+                Figures(at=self.environment.now(), sidecar=name, life=sidecar.life, told=telemetry)
+            )
 
     def _result(self, history: Sequence[Event]) -> Result:
         plan = self.plan
@@ -262,11 +266,11 @@
             rules = rules._replace(max_push_delay=None)
         ledger = Ledger(history, terms, rules)
         findings = ledger.check(self._invariants)
-        late = sorted(self.load.late if self.load is not None else [0.0]) or [0.0]
+        late = sorted(self.load.lateness if self.load is not None else [0.0]) or [0.0]
         p99 = statistics.quantiles(late, n=100)[98] if len(late) > 1 else late[0]
         return Result(
             title=plan.title, seed=self.seed, revision=revision.name(plan.fleet.revision or "HEAD"),
-            began=self.began - self.stage.origin, seconds=self.stage.now(),
+            began=self.began - self.environment.origin, seconds=self.environment.now(),
             summary=summarize(ledger.history, plan.classes), findings=findings,
             judged=dict(ledger.judged), excused=dict(ledger.excused),
             faults=[str(step.fault.__struct_config__.tag) for step in self._steps],
@@ -285,7 +289,7 @@
 def _read_gauges(sidecar: Any) -> dict[str, float]:
     """The metrics in GAUGES; empty if the sidecar does not answer."""
     try:
-        status, body = call(sidecar.mgmt, "/metrics", 0.3)
+        status, body = http_get(sidecar.mgmt, "/metrics", 0.3)
     except OSError:
         return {}
     found: dict[str, float] = {}
--- a/sprucenotch/rig/process.py
+++ b/sprucenotch/rig/process.py
@@ -45,7 +45,7 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-def call(address: str, path: str, timeout: float = 1.0) -> tuple[int, bytes]:
+def http_get(address: str, path: str, timeout: float = 1.0) -> tuple[int, bytes]:
     """Send a GET to a management listener; return status and body. Raises OSError if it does not answer."""
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout) as peer:
@@ -77,7 +77,7 @@
     )
 
 
-def allow_descriptors() -> None:
+def raise_descriptor_limit() -> None:
     """Raise the testbed's own descriptor limit to the hard limit: a relay needs four for each connection."""
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
@@ -143,11 +143,11 @@
             self.signal(signal.SIGCONT)
 
     def slow(self, share: float) -> None:
-        """Let it run only for that share of each time slice, until `quicken`."""
-        self.quicken()
+        """Let it run only for that share of each time slice, until `end_slowdown`."""
+        self.end_slowdown()
         self._slowdown = asyncio.get_running_loop().create_task(self._slow(share))
 
-    def quicken(self) -> None:
+    def end_slowdown(self) -> None:
         if self._slowdown is not None:
             self._slowdown.cancel()
             self._slowdown = None
@@ -175,7 +175,7 @@
 
     def end(self) -> None:
         """Stop it with SIGTERM (after SIGCONT, as a stopped process cannot act on it), then with SIGKILL."""
-        self.quicken()
+        self.end_slowdown()
         if not self.alive:
             return
         self.signal(signal.SIGCONT)
@@ -235,7 +235,7 @@
             if (code := self.process.poll()) is not None:
                 raise ProcessError(f"the sidecar ended with code {code}: {self.log_tail()}")
             try:
-                status, _ = await asyncio.to_thread(call, self.mgmt, "/api/ready")
+                status, _ = await asyncio.to_thread(http_get, self.mgmt, "/api/ready")
             except OSError:
                 status = 0
             if status == 200:
--- a/sprucenotch/rig/remote.py
+++ b/sprucenotch/rig/remote.py
@@ -20,10 +20,10 @@
 
 
 class RemoteProcess:
-    """A fake server process and the commands to it. Its events go to `witness`."""
+    """A fake server process and the commands to it. Its events go to `on_event`."""
 
-    def __init__(self, name: str, first: str, witness: Callable[[Any], None]) -> None:
-        self.name, self._first, self._witness = name, first, witness
+    def __init__(self, name: str, first: str, on_event: Callable[[Any], None]) -> None:
+        self.name, self._first, self._on_event = name, first, on_event
         self.child: ChildProcess | None = None
         self._last_number = 0
         self._replies: dict[int, asyncio.Future[Any]] = {}
@@ -42,7 +42,7 @@
     async def _read(self, stream: asyncio.StreamReader) -> None:
         while line := await stream.readline():
             if line.startswith(b'{"type"'):
-                self._witness(msgspec.json.decode(line, type=Event))
+                self._on_event(msgspec.json.decode(line, type=Event))
             elif line.endswith(b"\n"):  # otherwise it was killed while it wrote
                 reply = msgspec.json.decode(line, type=Reply)
                 waiting = self._replies.pop(reply.number, None)
@@ -85,9 +85,9 @@
 class RemoteEngine:
     """An `Engine` in a separate process; `die` kills that process."""
 
-    def __init__(self, spec: EngineSpec, witness: Callable[[Ran], None]) -> None:
+    def __init__(self, spec: EngineSpec, on_event: Callable[[Ran], None]) -> None:
         self.name, self.zone, self.dial, self.life = spec.name, spec.zone, "", 0
-        self._spec, self._witness = spec, witness
+        self._spec, self._on_event = spec, on_event
         self.remote = RemoteProcess(spec.name, "", self._observe)
         self._in_progress: set[str] = set()
         self.up = self.draining = self.failing = self.silent = False
@@ -102,7 +102,7 @@
             self._in_progress.discard(ran.id)
         self.served += ran.step == "done"
         self.declined += ran.step == "declined"
-        self._witness(ran)
+        self._on_event(ran)
 
     @property
     def busy(self) -> int:
@@ -140,8 +140,8 @@
 class RemoteDiscovery:
     """A `Discovery` in a separate process."""
 
-    def __init__(self, witness: Callable[[Event], None], origin: float) -> None:
-        self.remote = RemoteProcess("discovery", "", witness)
+    def __init__(self, on_event: Callable[[Event], None], origin: float) -> None:
+        self.remote = RemoteProcess("discovery", "", on_event)
         self._origin = origin
         self.up = False
 
--- a/sprucenotch/rig/report.py
+++ b/sprucenotch/rig/report.py
@@ -15,7 +15,7 @@
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
-from sprucenotch.rig.play import Second
+from sprucenotch.rig.play import SecondStats
 from sprucenotch.rig.store import Row, Store
 from sprucenotch.rig.summary import OUTCOMES
 from sprucenotch.rig.truth.history import Event, Fault
@@ -47,7 +47,7 @@
     return sorted(found, key=lambda interval: interval.begin)
 
 
-def plots(seconds: Sequence[Second], faults: Sequence[FaultInterval]) -> dict[str, str]:
+def plots(seconds: Sequence[SecondStats], faults: Sequence[FaultInterval]) -> dict[str, str]:
     """The plots as SVG, by title."""
     return {
         "Service, as the clients saw it": _plot(seconds, faults, _service),
@@ -58,7 +58,7 @@
     }
 
 
-def _plot(seconds: Sequence[Second], faults: Sequence[FaultInterval], draw: Any) -> str:
+def _plot(seconds: Sequence[SecondStats], faults: Sequence[FaultInterval], draw: Any) -> str:
     figure, axes = plt.subplots(figsize=(WIDTH, HEIGHT), layout="constrained")
     draw(axes, seconds)
     for interval in faults:
@@ -76,7 +76,7 @@
     return raw.getvalue()[raw.getvalue().index("<svg") :]
 
 
-def _service(axes: Axes, seconds: Sequence[Second]) -> None:
+def _service(axes: Axes, seconds: Sequence[SecondStats]) -> None:
     at, below = [s.at for s in seconds], [0.0] * len(seconds)
     for outcome in OUTCOMES:
         counts = [float(sum(n for (_, how), n in s.ended.items() if how == outcome)) for s in seconds]
@@ -88,7 +88,7 @@
 
 
 def _gauge(name: str, unit: str, scale: float = 1.0, from_zero: bool = True) -> Any:
-    def draw(axes: Axes, seconds: Sequence[Second]) -> None:
+    def draw(axes: Axes, seconds: Sequence[SecondStats]) -> None:
         series: dict[str, list[tuple[float, float]]] = defaultdict(list)
         for second in seconds:
             for sidecar, gauges in second.gauges.items():
@@ -101,7 +101,7 @@
     return draw
 
 
-def _engines(axes: Axes, seconds: Sequence[Second]) -> None:
+def _engines(axes: Axes, seconds: Sequence[SecondStats]) -> None:
     series: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for second in seconds:
         for engine, held in second.held.items():
@@ -122,7 +122,7 @@
     axes.legend(loc="lower left", bbox_to_anchor=(0, 1), ncols=8, fontsize=8, frameon=False)
 
 
-def _faults(seconds: Sequence[Second], faults: Sequence[FaultInterval]) -> str:
+def _faults(seconds: Sequence[SecondStats], faults: Sequence[FaultInterval]) -> str:
     height = 0.8 + 0.28 * max(1, len(faults))
     figure, axes = plt.subplots(figsize=(WIDTH, height), layout="constrained")
     for row, interval in enumerate(faults):
@@ -144,7 +144,7 @@
     return ", ".join(names[:3]) + more
 
 
-def page(store: Store, row: Row) -> str:
+def render_page(store: Store, row: Row) -> str:
     """The run as HTML."""
     seconds, history = store.seconds(row.id), store.history(row.id)
     faults = fault_intervals(history, row.result.began, row.result.seconds)
@@ -161,4 +161,4 @@
 
 def write(store: Store, row: Row, to: Path) -> None:
     """Write the page to a file. Raises OSError."""
-    to.write_text(page(store, row))
+    to.write_text(render_page(store, row))
--- a/sprucenotch/rig/rough.py
+++ b/sprucenotch/rig/rough.py
@@ -32,17 +32,17 @@
     kind: Kind
 
 
-class RoughClients:
+class MisbehavingClients:
     """The clients of one fault."""
 
     def __init__(
-        self, plan: Plan, witness: Callable[[history.Event], None], origin: float, seed: int
+        self, plan: Plan, on_event: Callable[[history.Event], None], origin: float, seed: int
     ) -> None:
         self._kinds = [kind(one) for one in plan.classes if one.effect == "retryable"] or [
             kind(plan.classes[0])
         ]
         self._owner = plan.load.tenants[0].name if plan.load.tenants else ""
-        self._witness, self._origin = witness, origin
+        self._on_event, self._origin = on_event, origin
         self._rng = random.Random(f"rough {seed} {id(self)}")
         self._tasks: set[asyncio.Task[None]] = set()
         self._idle_writers: list[asyncio.StreamWriter] = []
@@ -134,7 +134,7 @@
         await writer.drain()
         await asyncio.sleep(self._rng.uniform(0, MAX_STAY))
         writer.transport.abort() if self._rng.random() < 0.5 else writer.close()
-        self._witness(
+        self._on_event(
             history.Left(at=self._now(), sidecar=name, life=life, id=request.id, cls=request.kind.name)
         )
 
@@ -153,7 +153,7 @@
             ended = False
         except OSError:
             pass
-        self._witness(history.Stuck(at=self._now(), sidecar=name, began=began, ended=ended))
+        self._on_event(history.Stuck(at=self._now(), sidecar=name, began=began, ended=ended))
 
     async def _idle(
         self, name: str, life: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -162,7 +162,7 @@
 
     def _sent(self, request: Request, name: str, life: int) -> None:
         now, id_ = self._now(), request.id
-        self._witness(
+        self._on_event(
             history.Sent(
                 at=now, id=id_, call=id_, cls=request.kind.name, owner=self._owner, sidecar=name, life=life,
                 due=now, deadline=request.kind.deadline,
@@ -187,4 +187,4 @@
             how = "silent"
         except (OSError, asyncio.IncompleteReadError):
             how = "broke"
-        self._witness(history.Ended(at=self._now(), id=request.id, status=status, body=body, how=how))
+        self._on_event(history.Ended(at=self._now(), id=request.id, status=status, body=body, how=how))
--- a/sprucenotch/rig/sidecar.py
+++ b/sprucenotch/rig/sidecar.py
@@ -51,14 +51,14 @@
         folder: Path,
         configure: Configure,
         now: Callable[[], float],
-        witness: Callable[[Event], None],
+        on_event: Callable[[Event], None],
         set_reachable: Callable[[bool], None],
         longest_deadline: float,
         start_lock: asyncio.Lock,
     ) -> None:
         self.name, self._folder, self._configure = name, folder, configure
-        self._now, self._witness, self._set_reachable, self._start_lock = (
-            now, witness, set_reachable, start_lock,
+        self._now, self._on_event, self._set_reachable, self._start_lock = (
+            now, on_event, set_reachable, start_lock,
         )  # fmt: skip
         self._kill_timeout = max(3.0, longest_deadline) + KILL_AFTER
         self._listen, self._mgmt = (
@@ -95,7 +95,7 @@
         return bool(self.lives) and self.process.alive
 
     def _record(self, what: str, life: int, code: int = 0, version: int = 0) -> None:
-        self._witness(
+        self._on_event(
             Process(at=self._now(), name=self.name, what=what, life=life, code=code, version=version)  # type: ignore[arg-type]
         )
 
@@ -165,7 +165,7 @@
     def close(self) -> None:
         for process in self.lives:
             with contextlib.suppress(ProcessLookupError):
-                process.quicken()
+                process.end_slowdown()
                 process.kill()
         for held in (self._listen, *self._mgmt):
             held.close()
--- a/sprucenotch/rig/soak.py
+++ b/sprucenotch/rig/soak.py
@@ -10,7 +10,7 @@
 
 from sprucenotch.config import units
 from sprucenotch.rig.plan import SECOND, Plan
-from sprucenotch.rig.play import Second
+from sprucenotch.rig.play import SecondStats
 from sprucenotch.rig.truth.ledger import Finding
 from sprucenotch.settings import Problem, SettingsError
 
@@ -36,7 +36,7 @@
     return plan._replace(length=length / SECOND, nemesis=nemesis)
 
 
-def quarters(seconds: Sequence[Second], name: str) -> dict[str, tuple[float, float]]:
+def quarters(seconds: Sequence[SecondStats], name: str) -> dict[str, tuple[float, float]]:
     """The medians of a gauge in the third and in the last quarter, for each sidecar that has both."""
     end = max(second.at for second in seconds)
     series: dict[str, tuple[list[float], list[float]]] = defaultdict(lambda: ([], []))
@@ -48,7 +48,7 @@
     return {n: (statistics.median(a), statistics.median(b)) for n, (a, b) in series.items() if a and b}
 
 
-def judge(seconds: Sequence[Second]) -> list[Finding]:
+def judge(seconds: Sequence[SecondStats]) -> list[Finding]:
     """Return a finding for each gauge that grew from the third quarter to the last."""
     found = []
     for gauge, what in GAUGES.items():
@@ -60,7 +60,7 @@
     return found
 
 
-def summary(seconds: Sequence[Second]) -> str:
+def summary(seconds: Sequence[SecondStats]) -> str:
     """The figures that `judge` compares, as text."""
     lines = []
     for gauge, what in GAUGES.items():
--- a/sprucenotch/rig/stage.py
+++ b/sprucenotch/rig/stage.py
@@ -19,8 +19,8 @@
 from sprucenotch.rig.discovery import Discovery, Entry
 from sprucenotch.rig.engine import WarmUp, Work
 from sprucenotch.rig.faults import ClockStep, OnProcesses, Pause, SlowCpu, SystemCalls
-from sprucenotch.rig.plan import SECOND, Plan, chosen, names
-from sprucenotch.rig.process import ChildProcess, RigError, allow_descriptors
+from sprucenotch.rig.plan import SECOND, Plan, matching_processes, process_zones
+from sprucenotch.rig.process import ChildProcess, RigError, raise_descriptor_limit
 from sprucenotch.rig.remote import AnyEngine, RemoteDiscovery, RemoteEngine
 from sprucenotch.rig.revision import Program, Programs
 from sprucenotch.rig.sidecar import Sidecar
@@ -33,7 +33,7 @@
 MAX_LOG_TAIL = 256 * 1024  # bytes kept of each log
 
 
-class Stage:
+class Environment:
     """All processes of one run. Use it as an asynchronous context manager: every process it started is
     stopped on exit, also after an exception."""
 
@@ -52,14 +52,14 @@
         self.programs = Programs()
         self.engines: dict[str, AnyEngine] = {}  # by place; a replacement engine gets a new name
         self.sidecars: dict[str, Sidecar] = {}
-        self.wiring = Network(plan, self.rng)
+        self.network = Network(plan, self.rng)
         self.attempts: dict[str, int] = {}  # max_attempts by sidecar, where it differs from the plan
         self.controls: dict[str, Control] = {}  # of injected system call failures, by sidecar
         self.clocks: dict[str, Mapping[str, Any]] = {}  # clock errors, by sidecar
         # Held while the process of that name is stopped or started, since faults overlap.
         self.locks: defaultdict[str, asyncio.Lock] = defaultdict(asyncio.Lock)
         self.troubles: Counter[tuple[str, str]] = Counter()  # active faults by engine and trouble
-        self._zones = names(plan.fleet)
+        self._zones = process_zones(plan.fleet)
         self._discovery_addresses: dict[str, str] = {}
         self._peer_listen: dict[str, str] = {}
         self._first_list: dict[str, Mapping[str, Any]] = {}
@@ -70,25 +70,25 @@
         self._engines_apart = plan.fleet.engines_apart or any(n.startswith("engine") for n in targets)
         self._discovery_apart = plan.fleet.discovery_apart or "discovery" in targets
         self.discovery: Discovery | RemoteDiscovery = (
-            RemoteDiscovery(self.witness, self.origin)
+            RemoteDiscovery(self.on_event, self.origin)
             if self._discovery_apart
-            else Discovery(self.witness, self.origin)
+            else Discovery(self.on_event, self.origin)
         )
 
     def _targets(self, kind: type[OnProcesses]) -> list[str]:
         faults = (fault for fault in self.plan.faults if isinstance(fault, kind))
-        return [name for fault in faults for name in chosen(fault.on, self.plan.fleet)]
+        return [name for fault in faults for name in matching_processes(fault.on, self.plan.fleet)]
 
     def now(self) -> float:
         """Seconds since this object was created, on the monotonic clock."""
         return time.monotonic() - self.origin
 
-    def witness(self, event: Event) -> None:
+    def on_event(self, event: Event) -> None:
         self.history.append(event)
 
     # ---- startup
 
-    async def __aenter__(self) -> Stage:
+    async def __aenter__(self) -> Environment:
         try:
             await self._build()
         except BaseException:
@@ -100,7 +100,7 @@
         await self.close()
 
     async def _build(self) -> None:
-        allow_descriptors()
+        raise_descriptor_limit()
         limit = self.plan.fleet.memory * capacity.MEGABYTE
         capacity.check(self._parts(), limit, capacity.this_machine())
         if self._folder is None:
@@ -120,13 +120,13 @@
         for name in sidecar_names:
             await self._connect_sidecar(name)
         if fleet.peers:
-            self._peer_listen = await self.wiring.connect_peers(sidecar_names)
+            self._peer_listen = await self.network.connect_peers(sidecar_names)
         program = self.programs.program(fleet.revision)
         start_lock, longest_deadline = asyncio.Lock(), max(c.deadline for c in self.plan.classes) / SECOND
         for name in sidecar_names:
             self.sidecars[name] = sidecar = Sidecar(
-                name, self._folder, self._configuration, self.now, self.witness,
-                lambda on, name=name: self.wiring.set_reachable(name, on), longest_deadline,  # type: ignore[misc]
+                name, self._folder, self._configuration, self.now, self.on_event,
+                lambda on, name=name: self.network.set_reachable(name, on), longest_deadline,  # type: ignore[misc]
                 start_lock,
             )  # fmt: skip
             if name in self.controls:
@@ -135,7 +135,7 @@
                     sidecar.environment = {**sidecar.environment, syscalls.SPARE_LOG: "1"}
             sidecar.program = self._own_programs.get(name, program)
             self._first_list[name] = await self.discovery.whole(name)
-            self.wiring.open_relay("client", name, lambda sidecar=sidecar: sidecar.listen)  # type: ignore[misc]
+            self.network.open_relay("client", name, lambda sidecar=sidecar: sidecar.listen)  # type: ignore[misc]
         # Wait for all of them even if one fails: a start that is cancelled halfway leaves an orphan process.
         started = await asyncio.gather(*(s.start() for s in self.sidecars.values()), return_exceptions=True)
         for outcome in started:
@@ -144,7 +144,7 @@
 
     def _parts(self) -> capacity.Parts:
         """The processes and sockets that this plan needs."""
-        fleet, links = self.plan.fleet, self.wiring.links
+        fleet, links = self.plan.fleet, self.network.links
         fake_servers = fleet.engines * self._engines_apart + self._discovery_apart
         relays = sum(source == "client" or not target.startswith("sidecar") for source, target in links)
         return capacity.Parts(
@@ -161,17 +161,17 @@
             slots=fleet.slots, queue=fleet.queue, seed=self.rng.getrandbits(32),
             cold=WarmUp(fleet.cold_share, fleet.cold_for / SECOND), origin=self.origin,
         )  # fmt: skip
-        return RemoteEngine(spec, self.witness) if self._engines_apart else engine(spec, self.witness)
+        return RemoteEngine(spec, self.on_event) if self._engines_apart else engine(spec, self.on_event)
 
     async def _connect_sidecar(self, name: str) -> None:
         """Open the links from a sidecar to discovery and to the engines."""
         self._discovery_addresses[name] = await self.discovery.face(name)
-        self.wiring.open_relay(name, "discovery", lambda: self._discovery_addresses[name])
+        self.network.open_relay(name, "discovery", lambda: self._discovery_addresses[name])
         for place in self.engines:
             await self._connect_engine(name, place)
 
     async def _connect_engine(self, name: str, place: str) -> None:
-        dial = self.wiring.open_relay(name, place, lambda: self.engines[place].dial)
+        dial = self.network.open_relay(name, place, lambda: self.engines[place].dial)
         if dial is not None:
             await self.discovery.dials(name, {self.engines[place].name: dial})
 
@@ -179,7 +179,7 @@
 
     def dial(self, sidecar: str) -> str:
         """Return the address at which the clients of a sidecar connect."""
-        return self.wiring.dial("client", sidecar, self.sidecars[sidecar].listen)
+        return self.network.dial("client", sidecar, self.sidecars[sidecar].listen)
 
     def child(self, name: str) -> ChildProcess:
         """Return the process of that name. Raises RigError if it has none of its own, or is not running."""
@@ -205,18 +205,18 @@
             )
         )
 
-    async def engine_ends(self, place: str) -> None:
+    async def kill_engine(self, place: str) -> None:
         """Kill an engine: its requests are lost, and new connections are refused."""
         await self.engines[place].die()
-        self.wiring.set_reachable(place, False)
+        self.network.set_reachable(place, False)
 
-    async def engine_starts(self, place: str, cold: bool = True) -> None:
+    async def restart_engine(self, place: str, cold: bool = True) -> None:
         """Restart the same engine at the same address; discovery shows it only by a new start time."""
         await self.engines[place].start(cold=cold)
-        self.wiring.set_reachable(place, True)
+        self.network.set_reachable(place, True)
         await self.tell(place, born_ms=int(time.time() * 1000) if cold else 0)
 
-    async def new_engine(self, place: str) -> None:
+    async def replace_engine(self, place: str) -> None:
         """Start a cold replacement engine in that place, at a new address."""
         self.engines[place] = replacement = self._engine(place)
         await replacement.start(cold=True)
@@ -241,11 +241,12 @@
         configuration: dict[str, Any] = {
             "name": name, "listen": sidecar.listen, "mgmt": sidecar.next_mgmt,
             "seed": f"{self.rng.getrandbits(64):x}",
-            "discovery": self.wiring.dial(name, "discovery", self._discovery_addresses[name]), "known": known,
+            "discovery": self.network.dial(name, "discovery", self._discovery_addresses[name]),
+            "known": known,
             "limits": {"cores": 1.0, "memory_mb": fleet.memory, "sockets": 1024},
             "settings": deployment.settings(self.plan, number, self.attempts.get(name, fleet.attempts)),
         }  # fmt: skip
-        if (peers := self.wiring.peers) is not None:
+        if (peers := self.network.peers) is not None:
             configuration |= {
                 "peer_listen": self._peer_listen[name],
                 "peers": [peers.dial(name, peer) for peer in peers.address],
@@ -271,7 +272,7 @@
             sidecar.process.configure({**configuration, "mgmt": sidecar.mgmt})
             sidecar.process.signal(signal.SIGHUP)
 
-    def cut_off_configuration(self, name: str) -> None:
+    def truncate_configuration(self, name: str) -> None:
         """Truncate a sidecar's configuration file to half and make it reload."""
         sidecar = self.sidecars[name]
         if sidecar.alive:
@@ -320,7 +321,7 @@
                 await self.discovery.die()
         for control in self.controls.values():
             control.close()
-        self.wiring.close()
+        self.network.close()
         self.programs.close()
         if self._temporary is not None:
             self._temporary.cleanup()
--- a/sprucenotch/rig/standin.py
+++ b/sprucenotch/rig/standin.py
@@ -61,11 +61,11 @@
         raw = raw[os.write(1, raw) :]
 
 
-def engine(spec: EngineSpec, witness: Callable[[Ran], None]) -> Engine:
+def engine(spec: EngineSpec, on_event: Callable[[Ran], None]) -> Engine:
     """Create an engine from its parameters."""
     created = Engine(
         spec.name, spec.zone, {name.encode(): work for name, work in spec.work.items()}, spec.slots,
-        spec.queue, spec.seed, spec.cold, witness, spec.origin,
+        spec.queue, spec.seed, spec.cold, on_event, spec.origin,
     )  # fmt: skip
     created.server.dial, created.life = spec.dial, spec.life
     return created
--- a/sprucenotch/rig/store.py
+++ b/sprucenotch/rig/store.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct
 
-from sprucenotch.rig.play import Result, Second
+from sprucenotch.rig.play import Result, SecondStats
 from sprucenotch.rig.process import RigError
 from sprucenotch.rig.truth.history import Event
 
@@ -76,7 +76,7 @@
         self,
         source: str,
         result: Result,
-        seconds: Sequence[Second] = (),
+        seconds: Sequence[SecondStats] = (),
         history: Sequence[Event] = (),
         logs: Mapping[str, str] | None = None,
     ) -> int:
@@ -120,7 +120,7 @@
         """The last valid run of each seed, which a sweep need not repeat."""
         return {row.result.seed: row for row in self.rows(source, revision) if row.counts}
 
-    def seconds(self, run: int) -> list[Second]:
+    def seconds(self, run: int) -> list[SecondStats]:
         """The measurements of a run, by second."""
         [(raw,)] = self._read("SELECT seconds FROM runs WHERE id = ?", run)
         return [_second(one) for one in msgspec.msgpack.decode(raw, type=list[_Packed])]
@@ -143,7 +143,7 @@
 
 
 class _Packed(Struct, frozen=True):
-    """A Second as it is encoded: MessagePack maps cannot have tuples as keys."""
+    """SecondStats as they are encoded: MessagePack maps cannot have tuples as keys."""
 
     at: float
     ended: list[tuple[str, str, int]]
@@ -153,11 +153,11 @@
     gauges: Mapping[str, Mapping[str, float]]
 
 
-def _pack(one: Second) -> _Packed:
+def _pack(one: SecondStats) -> _Packed:
     ended = [(cls, how, count) for (cls, how), count in one.ended.items()]
     return _Packed(one.at, ended, one.served, one.held, one.cpu, one.gauges)
 
 
-def _second(one: _Packed) -> Second:
+def _second(one: _Packed) -> SecondStats:
     ended = Counter({(cls, how): count for cls, how, count in one.ended})
-    return Second(one.at, ended, one.served, one.held, one.cpu, one.gauges)
+    return SecondStats(one.at, ended, one.served, one.held, one.cpu, one.gauges)
--- a/sprucenotch/rig/summary.py
+++ b/sprucenotch/rig/summary.py
@@ -21,7 +21,7 @@
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
-class ByClass(Struct, frozen=True):
+class ClassSummary(Struct, frozen=True):
     """The results of a request class."""
 
     asked: int  # logical requests, without repeats
@@ -35,7 +35,7 @@
 
 class Summary(Struct, frozen=True):
     worth: float  # share of the requested worth that was served within its aim
-    classes: Mapping[str, ByClass]
+    classes: Mapping[str, ClassSummary]
 
     @property
     def outcomes(self) -> dict[str, int]:
@@ -46,7 +46,7 @@
     """How a request ended from its client's view."""
     if ended is None or ended.how != "whole":
         return "failed"
-    return client.Ended(kind(one), ended.status, ended.at - sent.at).outcome
+    return client.RequestResult(kind(one), ended.status, ended.at - sent.at).outcome
 
 
 def summarize(history: Iterable[Event], classes: Sequence[Class]) -> Summary:
@@ -60,7 +60,7 @@
     calls: dict[str, list[Sent]] = defaultdict(list)
     for one in sent.values():
         calls[one.call].append(one)
-    worth, all_worth, found = 0.0, 0.0, dict[str, ByClass]()
+    worth, all_worth, found = 0.0, 0.0, dict[str, ClassSummary]()
     for cls in classes:
         counts = dict.fromkeys(OUTCOMES, 0)
         due, left = (HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS) for _ in range(2))
@@ -76,7 +76,7 @@
         worth += float(cls.worth) * counts["served"]
         all_worth += float(cls.worth) * len(of_class)
         requests = sum(map(len, of_class))
-        found[cls.name] = ByClass(len(of_class), counts, requests, _quantiles(due), _quantiles(left))
+        found[cls.name] = ClassSummary(len(of_class), counts, requests, _quantiles(due), _quantiles(left))
     return Summary(worth / all_worth if all_worth else math.nan, found)
 
 
--- a/sprucenotch/rig/sweep.py
+++ b/sprucenotch/rig/sweep.py
@@ -36,11 +36,11 @@
 
     job: Job
     code: int
-    said: str  # the error, in one line
+    error: str  # in one line
     crashed: bool = False  # the testbed itself failed, not a process under test
 
 
-def open_jobs(store: Store, jobs: Sequence[Job]) -> list[Job]:
+def pending_jobs(store: Store, jobs: Sequence[Job]) -> list[Job]:
     """The jobs that have no valid run in the store yet; an interrupted sweep continues with these."""
     keys = _keys(jobs)
     done = {key: store.done(*key) for key in set(keys.values())}
--- a/sprucenotch/rig/trouble.py
+++ b/sprucenotch/rig/trouble.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from sprucenotch.rig.actions import Faults
+from sprucenotch.rig.actions import FaultInjector
 from sprucenotch.rig.faults import Engines, Fault, Surge
 
 
@@ -35,7 +35,7 @@
 class FaultSwitches:
     """Switches named faults on and off."""
 
-    def __init__(self, faults: Faults) -> None:
+    def __init__(self, faults: FaultInjector) -> None:
         self._faults = faults
         self._active: dict[str, int] = {}
 
--- a/sprucenotch/rig/volume.py
+++ b/sprucenotch/rig/volume.py
@@ -103,7 +103,7 @@
 
 
 class Volume:
-    """A folder in memory. Its faults (`room`, `slow`, `failing`) may be set at any time."""
+    """A folder in memory. Its faults (`free_bytes`, `slow`, `failing`) may be set at any time."""
 
     def __init__(self, sleep: Callable[[float], None] = time.sleep) -> None:
         self._names: dict[str, Inode] = {}
@@ -111,7 +111,7 @@
         self._pending: list[DirectoryChange] = []
         self._locked: set[str] = set()
         self._sleep = sleep
-        self.room: int | None = None  # free bytes; None for no limit
+        self.free_bytes: int | None = None  # None for no limit
         self.slow = 0.0  # seconds that each operation takes
         self.failing: set[str] = (
             set()
@@ -189,7 +189,7 @@
         self._names = dict(self._durable)
         self._pending.clear()
         self._locked.clear()
-        self.room, self.slow = None, 0.0
+        self.free_bytes, self.slow = None, 0.0
         self.failing.clear()
 
     def write_to(self, folder: Path) -> None:
@@ -210,12 +210,12 @@
 
     def write(self, data: bytes) -> None:
         self._volume._begin("write")
-        room = self._volume.room
-        if room is not None:
-            self._volume.room = max(0, room - len(data))
-            if len(data) > room:
-                if room:
-                    self._inode.write(data[:room])
+        free_bytes = self._volume.free_bytes
+        if free_bytes is not None:
+            self._volume.free_bytes = max(0, free_bytes - len(data))
+            if len(data) > free_bytes:
+                if free_bytes:
+                    self._inode.write(data[:free_bytes])
                 raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         if data:
             self._inode.write(data)
--- a/sprucenotch/rig/wiring.py
+++ b/sprucenotch/rig/wiring.py
@@ -10,7 +10,7 @@
 from sprucenotch.rig.net.datagrams import PeerRelays
 from sprucenotch.rig.net.link import Link
 from sprucenotch.rig.net.relay import Relay
-from sprucenotch.rig.plan import Plan, links
+from sprucenotch.rig.plan import Plan, matching_links
 from sprucenotch.rig.process import free_address
 
 
@@ -24,7 +24,7 @@
         self.peers: PeerRelays | None = None
         for fault in plan.faults:
             if isinstance(fault, OnLinks):
-                for source, target in links(fault, plan.fleet):
+                for source, target in matching_links(fault, plan.fleet):
                     self.links.setdefault((source, target), Link(source, target))
 
     def open_relay(self, source: str, target: str, dial: Callable[[], str]) -> str | None:
--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -83,7 +83,7 @@
 
 
 @contextlib.asynccontextmanager
-async def serving_sizes(folder: Path, **changes: Any) -> AsyncIterator[Program]:
+async def sized_answer_sidecar(folder: Path, **changes: Any) -> AsyncIterator[Program]:
     """A ready sidecar with a server whose answers have the requested size."""
     async with (
         endpoint(sized_answer) as served,
@@ -100,7 +100,7 @@
     return ok(bytes(size) or seen.body or b"done")
 
 
-async def failures_of_a_mixed_load(sidecar: Program, idle_may_close: bool = False) -> list[str]:
+async def mixed_load_failures(sidecar: Program, idle_may_close: bool = False) -> list[str]:
     """Run twenty concurrent clients with three requests each on one connection: short answers, long ones,
     long uploads, and requests that must not be repeated. Returns a line for each request that did not get
     its complete answer.
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -19,7 +19,7 @@
 from sprucenotch.node.telemetry import Telemetry
 from sprucenotch.recovery import memory, writer
 from sprucenotch.seams.recorded import RecordedFile
-from tests.planted_hunt import repeats_what_may_have_run
+from tests.planted_hunt import retry_what_may_have_run
 
 CALLS_PER_FAULT = 10
 ANSWER_DELAY = 0.9  # seconds
@@ -68,7 +68,7 @@
 
 
 def runs_twice() -> None:
-    repeats_what_may_have_run()
+    retry_what_may_have_run()
 
 
 def answers_late() -> None:
--- a/tests/planted_hunt.py
+++ b/tests/planted_hunt.py
@@ -129,7 +129,7 @@
     ledger.Open.wanted = lambda self, now: not self.answered  # type: ignore[method-assign]
 
 
-def repeats_what_may_have_run() -> None:
+def retry_what_may_have_run() -> None:
     def planted(request: Any, outcome: int, now: int, budget: float, overload: bool) -> Reason | None:
         return Reason.EXPIRED if request.attempts >= request.tries or now >= request.expires else None
 
@@ -212,7 +212,7 @@
     "deadline": (send_full_deadline, frozenset({"deadline beyond the time left"})),
     "bad_clients": (keep_stalled_clients, frozenset({"bad client kept"})),
     "window": (retry_after_window, frozenset({"run twice", "broken by its own word"})),
-    "fragile": (repeats_what_may_have_run, frozenset({"run twice"})),
+    "fragile": (retry_what_may_have_run, frozenset({"run twice"})),
     "in_part": (count_partial_send_as_timeout, frozenset({"run twice"})),
     "no_rest": (reuse_connections_immediately, frozenset({"not made"})),
     "pipelined": (close_with_pipelined_requests_pending, frozenset({"lost"})),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,7 +14,7 @@
 from sprucenotch.rig.capacity import MEGABYTE, CapacityError, Machine, Parts
 from sprucenotch.rig.process import ChildProcess
 from sprucenotch.rig.remote import RemoteProcess
-from sprucenotch.rig.stage import Stage
+from sprucenotch.rig.stage import Environment
 from tests.sidecar import run
 
 AMPLE = Machine(memory=10**15, descriptors=10**9)
@@ -39,12 +39,12 @@
 def test_plan_may_have_thousands_of_sidecars_and_engines() -> None:
     decoded = plan.decode(LARGE.encode())
     assert (decoded.fleet.sidecars, decoded.fleet.engines) == (2048, 4096)
-    assert len(plan.links(decoded.steps[0].fault, decoded.fleet)) == 4096  # type: ignore[arg-type]
+    assert len(plan.matching_links(decoded.steps[0].fault, decoded.fleet)) == 4096  # type: ignore[arg-type]
 
 
 def test_memory_and_descriptors_count_all_processes_and_sockets() -> None:
-    stage = Stage(plan.decode(LARGE.encode()), 1)
-    parts = stage._parts()
+    environment = Environment(plan.decode(LARGE.encode()), 1)
+    parts = environment._parts()
     assert parts == Parts(2048, 10, 4096, 4096, 4096, True)
     sidecars, engines = (2048 + 10) * 64 * MEGABYTE, 4096 * capacity.FAKE_SERVER_MEMORY
     assert capacity.memory_needed(parts, 64 * MEGABYTE) == sidecars + engines
@@ -76,7 +76,7 @@
 
     async def test() -> None:
         with pytest.raises(CapacityError, match="of memory"):
-            async with Stage(plan.decode(SMALL.encode()), 1):
+            async with Environment(plan.decode(SMALL.encode()), 1):
                 pass
 
     run(test())
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -20,8 +20,8 @@
 from sprucenotch.config import schema, toml, units
 from sprucenotch.node import config
 from sprucenotch.rig import plan
-from sprucenotch.rig.actions import Faults
-from sprucenotch.rig.stage import Stage
+from sprucenotch.rig.actions import FaultInjector
+from sprucenotch.rig.stage import Environment
 from sprucenotch.rig.trouble import FaultSwitches
 from sprucenotch.settings import SettingsError
 from tests.sidecar import SETTINGS, configuration, run
@@ -30,7 +30,7 @@
 EXAMPLE = ROOT / "deploy" / "example.toml"
 
 
-def typed(*words: str, environment: dict[str, str] | None = None) -> tuple[int, str, str]:
+def run_command(*words: str, environment: dict[str, str] | None = None) -> tuple[int, str, str]:
     """Run a command; the exit code, standard output and standard error."""
     environ = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")} | (environment or {})
     command = (sys.executable, "-m", "sprucenotch", *words)
@@ -88,7 +88,7 @@
 
 
 def test_config_show_lists_every_value_with_its_source(config_file: Path) -> None:
-    code, said, _ = typed(
+    code, said, _ = run_command(
         "config", "show", "--json", str(config_file), environment={"PROXY_MGMT": "127.0.0.1:7"}
     )
     rows = json.loads(said)
@@ -105,13 +105,13 @@
     content["settings"]["Limits"]["MaxAttempts"] = 2
     content["listen"] = "127.0.0.1:9"
     new.write_text(json.dumps(content))
-    code, said, _ = typed("config", "diff", str(config_file), str(new))
+    code, said, _ = run_command("config", "diff", str(config_file), str(new))
     assert code == 0 and said.splitlines()[-1] == "SIGHUP would apply it"
     assert "settings.limits.max_attempts: 5 -> 2\n" in said
     assert "listen: 127.0.0.1:0 -> 127.0.0.1:9  (not before the next start)" in said
     del content["settings"]["Limits"]["Probes"]
     new.write_text(json.dumps(content))
-    code, said, _ = typed("config", "diff", str(config_file), str(new))
+    code, said, _ = run_command("config", "diff", str(config_file), str(new))
     assert code == 1 and "reject it: settings.Limits.Probes is missing" in said
 
 
@@ -128,7 +128,7 @@
     ],
 )
 def test_bad_input_gives_one_error_line_and_an_exit_code(words: tuple[str, ...], code: int) -> None:
-    ended, said, stderr = typed(*words)
+    ended, said, stderr = run_command(*words)
     assert (ended, said, stderr.count("\n")) == (code, "", 1)
     assert stderr.startswith("sprucenotch: ")
 
@@ -143,15 +143,15 @@
 def test_status_shows_a_running_sidecar_and_reports_one_that_does_not_answer() -> None:
     async def test() -> None:
         demo_plan = plan.Plan("", 1.0, 0.0, plan.Fleet(sidecars=1, engines=3), plan.Load(), plan.CLASSES)
-        async with Stage(demo_plan, seed=1) as stage:
-            mgmt = stage.sidecars["sidecar-0"].mgmt
-            code, said, _ = await asyncio.to_thread(typed, "status", "--json", mgmt)
+        async with Environment(demo_plan, seed=1) as environment:
+            mgmt = environment.sidecars["sidecar-0"].mgmt
+            code, said, _ = await asyncio.to_thread(run_command, "status", "--json", mgmt)
             content = json.loads(said)
             assert (code, content["ready"], content["telemetry"]["known_quote_engines"]) == (0, True, 3)
             assert content["metrics"]["engines/known"] == 3
-            code, said, _ = await asyncio.to_thread(typed, "status", mgmt)
+            code, said, _ = await asyncio.to_thread(run_command, "status", mgmt)
             assert code == 0 and "ready" in said and "place-order" in said
-        ended, _, stderr = typed("status", mgmt)
+        ended, _, stderr = run_command("status", mgmt)
         assert ended == 3 and stderr.startswith(f"sprucenotch: no answer from {mgmt}")
 
     run(test())
@@ -163,12 +163,12 @@
         taken.listen()
         content = json.loads(config_file.read_text()) | {"listen": f"127.0.0.1:{taken.getsockname()[1]}"}
         config_file.write_text(json.dumps(content))
-        ended, said, stderr = typed("serve", str(config_file))
+        ended, said, stderr = run_command("serve", str(config_file))
     assert (ended, said) == (3, "") and "in use" in stderr and "Traceback" not in stderr
 
 
 def test_demo_runs_and_stops_by_itself() -> None:
-    code, said, _ = typed("demo", "--for", "3", "--json", "--trouble", "errors", "--load", "0.4")
+    code, said, _ = run_command("demo", "--for", "3", "--json", "--trouble", "errors", "--load", "0.4")
     content = json.loads(said)
     assert code == 0 and set(content["classes"]) == {"price-check", "place-order"}
     assert all(outcomes["served"] > 0 for outcomes in content["classes"].values())
@@ -177,13 +177,13 @@
 def test_overlapping_named_faults_end_without_a_trace() -> None:
     async def test() -> None:
         demo_plan = plan.Plan("", 1.0, 0.0, plan.Fleet(sidecars=1, engines=6), plan.Load(), plan.CLASSES)
-        async with Stage(demo_plan, seed=1) as stage:
-            faults = Faults(stage)
+        async with Environment(demo_plan, seed=1) as environment:
+            faults = FaultInjector(environment)
             troubles, others = FaultSwitches(faults), FaultSwitches(faults)
             for turned in (troubles, others):
                 for name in ("slow", "dead", "surge"):
                     await turned.switch(name, True)
-            engines = stage.engines.values()
+            engines = environment.engines.values()
             down, slow = sum(not e.up for e in engines), sum(e.slower > 1 for e in engines)
             assert 2 <= down <= 4 and 2 <= slow <= 4 and faults.load == 9.0
             for name in ("surge", "dead", "slow"):
--- a/tests/test_failing_transfers.py
+++ b/tests/test_failing_transfers.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from sprucenotch.rig.syscalls import Call, Rule
-from tests.failing_calls import failures_of_a_mixed_load, needs_compiler, serving_sizes
+from tests.failing_calls import mixed_load_failures, needs_compiler, sized_answer_sidecar
 from tests.sidecar import run
 
 pytestmark = needs_compiler
@@ -23,12 +23,12 @@
 
 
 async def check_no_request_is_lost(call: Call, errors: tuple[int, ...], folder: Path) -> None:
-    async with serving_sizes(folder) as sidecar:
+    async with sized_answer_sidecar(folder) as sidecar:
         for error in errors:
             for every in (5, 2):
                 rule = Rule(call, error, every)
                 sidecar.control.fail(rule)
-                assert await failures_of_a_mixed_load(sidecar) == [], rule
+                assert await mixed_load_failures(sidecar) == [], rule
                 assert sidecar.control.failed(call) > 0
                 sidecar.control.heal(call)
 
@@ -52,10 +52,10 @@
     the fault ended (hunt, seed 412: answers 0.4 s after their deadlines, and no status event for 2 s)."""
 
     async def test() -> None:
-        async with serving_sizes(tmp_path) as sidecar:
+        async with sized_answer_sidecar(tmp_path) as sidecar:
             for at_once in (False, True):
                 sidecar.control.fail(Rule(Call.WAIT, errno.EINTR, 2, at_once))
-                assert await failures_of_a_mixed_load(sidecar) == []
+                assert await mixed_load_failures(sidecar) == []
                 assert sidecar.control.failed(Call.WAIT) > 0
 
     run(test())
@@ -67,8 +67,8 @@
     running event loop`."""
 
     async def test() -> None:
-        async with serving_sizes(tmp_path) as sidecar:
-            assert await failures_of_a_mixed_load(sidecar) == []
+        async with sized_answer_sidecar(tmp_path) as sidecar:
+            assert await mixed_load_failures(sidecar) == []
             sidecar.control.fail(Rule(Call.EPOLL_CTL, errno.ENOMEM, 1))
             sidecar.process.terminate()
             assert await sidecar.process.wait() == 0
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -19,8 +19,8 @@
 from sprucenotch.rig.net.datagrams import PeerRelays
 from sprucenotch.rig.net.link import Link, LinkFault
 from sprucenotch.rig.net.relay import Relay
-from sprucenotch.rig.play import Play, Result
-from sprucenotch.rig.process import allow_descriptors
+from sprucenotch.rig.play import PlanRun, Result
+from sprucenotch.rig.process import raise_descriptor_limit
 from sprucenotch.rig.revision import ROOT, Program
 from sprucenotch.settings import SettingsError
 from tests.planted import AT_STARTS, FAULTS
@@ -47,7 +47,7 @@
 
 
 def played(text: str, seed: int, programs: dict[str, Program] | None = None) -> Result:
-    return uvloop.run(Play(plan.decode(text.encode()), seed, programs=programs).run())
+    return uvloop.run(PlanRun(plan.decode(text.encode()), seed, programs=programs).run())
 
 
 def test_checkers_planted_faults_each_reported_under_its_rule_only() -> None:
@@ -125,8 +125,8 @@
             reader, writer = await asyncio.open_connection(*relay.address)
             writer.write(b"before")
             assert await reader.readexactly(6) == b"before"
-            link.harm(1, LinkFault(cut=True))
-            link.harm(2, LinkFault(way="there", delay=0.01))
+            link.add_fault(1, LinkFault(cut=True))
+            link.add_fault(2, LinkFault(way="there", delay=0.01))
             writer.write(b"during")
             connections = Echo.connections
             pending = asyncio.ensure_future(asyncio.open_connection(*relay.address))
@@ -137,7 +137,7 @@
                 await there.readexactly(1)
             assert not pending.done() and Echo.connections == connections + 1
             assert not reader._buffer  # type: ignore[attr-defined]
-            link.heal(1)
+            link.remove_fault(1)
             assert await reader.readexactly(6) == b"during"
             reader, writer = await pending
             writer.write(b"after")
@@ -149,20 +149,20 @@
 def test_link_reset_within_an_answer_and_half_open_until_healed() -> None:
     async def test() -> None:
         async with relayed() as (relay, link):
-            link.harm(1, LinkFault(way="back", reset_after=10))
+            link.add_fault(1, LinkFault(way="back", reset_after=10))
             reader, writer = await asyncio.open_connection(*relay.address)
             writer.write(bytes(30))
             with pytest.raises(ConnectionResetError):
                 await reader.readexactly(30)
-            link.heal(1)
-            link.harm(2, LinkFault(half_open=True))
+            link.remove_fault(1)
+            link.add_fault(2, LinkFault(half_open=True))
             connections = Echo.connections
             reader, writer = await asyncio.open_connection(*relay.address)
             writer.write(b"x")
             relay.refuse()
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*relay.address)
-            link.heal(2)
+            link.remove_fault(2)
             with pytest.raises(ConnectionResetError):
                 await reader.readexactly(1)
             assert Echo.connections == connections
@@ -172,9 +172,9 @@
 
 def test_relay_thousand_connections_deliver_data_complete_and_in_order() -> None:
     async def test() -> None:
-        allow_descriptors()
+        raise_descriptor_limit()
         async with relayed() as (relay, link):
-            link.harm(1, LinkFault(delay=0.001, jitter=0.01, rate=1e9))
+            link.add_fault(1, LinkFault(delay=0.001, jitter=0.01, rate=1e9))
 
             opening, up = asyncio.Semaphore(64), asyncio.Barrier(1000)
 
@@ -221,8 +221,8 @@
             host, _, port = relays.dial(source, target).partition(":")
             ends[source].sendto(data, (host, int(port)))
 
-        links["a>b"].harm(1, LinkFault(duplicate=1.0))
-        links["a>c"].harm(2, LinkFault(cut=True))
+        links["a>b"].add_fault(1, LinkFault(duplicate=1.0))
+        links["a>c"].add_fault(2, LinkFault(cut=True))
         send("a", "*", b"all")
         send("a", "b", b"last")
         await arrived.wait()
@@ -261,7 +261,7 @@
     drawn, drawn_again = (nemesis.steps(plan.decode(text.encode()), seed) for _ in range(2))
     assert drawn == drawn_again
     assert all(step.at >= 1 and step.at + step.lasts <= 10 for step in drawn)
-    ends = [step.at + (step.lasts or nemesis.OWN_TIME) for step in drawn]
+    ends = [step.at + (step.lasts or nemesis.SELF_ENDING_DURATION) for step in drawn]
     for step in drawn:
         active = [one for one, end in zip(drawn, ends, strict=True) if one.at <= step.at < end]
         assert len(active) <= at_once
@@ -302,7 +302,7 @@
                 await asyncio.sleep(0)
 
         task = asyncio.create_task(other())
-        await _in_batches([Link("a", str(n)) for n in range(160)], lambda link: link.heal(1))
+        await _in_batches([Link("a", str(n)) for n in range(160)], lambda link: link.remove_fault(1))
         task.cancel()
         return turns
 
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -17,7 +17,7 @@
 from sprucenotch.rig import plan, sweep, syscalls
 from sprucenotch.rig.hunt import campaign, shrink
 from sprucenotch.rig.hunt.draw import FAMILIES, Schedule, kind, schedule
-from sprucenotch.rig.play import Play, Result
+from sprucenotch.rig.play import PlanRun, Result
 from sprucenotch.rig.revision import ROOT
 from sprucenotch.rig.store import Row
 from sprucenotch.rig.summary import Summary
@@ -97,8 +97,8 @@
     added = campaign.total(rows)
     assert (added.runs, added.late, added.seconds) == (2, 1, 43.0)
     assert added.judged == {"lost": 200} and added.faults == {"cut": 4}
-    assert added.holes() == ["recovery"]
-    found = campaign.finds(rows, [Failed(Job("p", "s", 4), 5, "sidecar-1 ended with code 1")])
+    assert added.undertested_rules() == ["recovery"]
+    found = campaign.broken_rules(rows, [Failed(Job("p", "s", 4), 5, "sidecar-1 ended with code 1")])
     assert [(find.seed, find.rule, find.times) for find in found] == [
         (2, "lost", 2),
         (4, campaign.ENDED_EARLY, 1),
@@ -108,7 +108,7 @@
 def test_campaign_crash_of_the_testbed_is_counted_but_is_not_a_find() -> None:
     crash = Failed(Job("p", "s", 4), 1, "msgspec.DecodeError: Input data was truncated", crashed=True)
     dead = Failed(Job("p", "s", 5), 5, "sidecar-1 ended with code 1")
-    assert [(find.seed, find.rule) for find in campaign.finds([], [crash, dead])] == [
+    assert [(find.seed, find.rule) for find in campaign.broken_rules([], [crash, dead])] == [
         (5, campaign.ENDED_EARLY)
     ]
     added = campaign.total([], [crash, dead, crash])
@@ -146,7 +146,7 @@
     breaks."""
     drawn = schedule(11, 8.0)
     small = msgspec.structs.replace(drawn, fleet={**drawn.fleet, "sidecars": 4, "engines": 6})
-    play = Play(plan.decode(small.text().encode()), 11)
+    play = PlanRun(plan.decode(small.text().encode()), 11)
     played = uvloop.run(play.run())
     assert Counter(played.faults) == Counter(steps(small))
     asked = sum(one.asked for one in played.summary.classes.values())
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -33,7 +33,7 @@
 from sprucenotch.recovery.service import SCHEMA
 from sprucenotch.recovery.writer import Writer
 from sprucenotch.rig import plan
-from sprucenotch.rig.play import Play
+from sprucenotch.rig.play import PlanRun
 from sprucenotch.rig.volume import Volume
 from sprucenotch.seams.clock import Moment
 from sprucenotch.store.reading import Owner
@@ -244,7 +244,7 @@
 ) -> None:
     restarts = ", ".join(RESTART.format(n=n, how=how) for n, how in enumerate(hows))
     text = PLAN.format(sidecars=len(hows), state=kind, restarts=restarts)
-    play = Play(plan.decode(text.encode()), 1, folder=tmp_path)
+    play = PlanRun(plan.decode(text.encode()), 1, folder=tmp_path)
     result = uvloop.run(play.run())
     assert not result.findings and result.summary.outcomes["served"] > 10
     for n in range(len(hows)):
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -21,7 +21,7 @@
 from sprucenotch.node.config import Address
 from sprucenotch.node.frontend import MIN_UNUSED_AGE
 from sprucenotch.rig.syscalls import SHORT, Call, Rule
-from tests.failing_calls import failures_of_a_mixed_load, needs_compiler, serving_sizes
+from tests.failing_calls import mixed_load_failures, needs_compiler, sized_answer_sidecar
 from tests.sidecar import Client, Sidecar, always_ok, endpoint, request, run, sidecar
 
 
@@ -129,10 +129,10 @@
         for error in (errno.EMFILE, errno.ENFILE):
             folder = tmp_path / errno.errorcode[error]
             folder.mkdir()
-            async with serving_sizes(folder) as node:
+            async with sized_answer_sidecar(folder) as node:
                 node.control.fail(Rule(Call.READ, SHORT, 2))
                 node.control.fail(Rule(Call.SOCKET, error, 3))
-                assert await failures_of_a_mixed_load(node, idle_may_close=True) == []
+                assert await mixed_load_failures(node, idle_may_close=True) == []
                 assert node.control.failed(Call.SOCKET) > 0
 
     run(test())
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -16,13 +16,13 @@
 from sprucenotch.cli.rig import SCENARIOS, load
 from sprucenotch.rig import plan, report, soak
 from sprucenotch.rig.compare import compare
-from sprucenotch.rig.play import Play, Result, Second
+from sprucenotch.rig.play import PlanRun, Result, SecondStats
 from sprucenotch.rig.process import ProcessError, RigError
 from sprucenotch.rig.revision import ROOT, Program
 from sprucenotch.rig.sidecar import AddressError
 from sprucenotch.rig.store import Row, Store, StoreError
 from sprucenotch.rig.summary import Summary
-from sprucenotch.rig.sweep import Job, open_jobs
+from sprucenotch.rig.sweep import Job, pending_jobs
 
 SMOKE = """
 title = "a little of everything"
@@ -44,16 +44,16 @@
 
 
 def test_smoke_run_with_most_faults_breaks_no_rule_and_renders_a_report(tmp_path: Path) -> None:
-    play = Play(plan.decode(SMOKE.encode()), seed=1)
+    play = PlanRun(plan.decode(SMOKE.encode()), seed=1)
     result = uvloop.run(play.run())
     assert result.findings == [] and result.summary.outcomes["served"] > 100
     assert {"lost", "overdue", "not made", "telemetry untrue"} <= {r for r, n in result.judged.items() if n}
     with Store(tmp_path / "runs") as store:
-        store.add(SMOKE, result, play.seconds, play.stage.history, play.logs)
+        store.add(SMOKE, result, play.seconds, play.environment.history, play.logs)
         [row] = store.rows()
-        assert row.result == result and store.history(row.id) == play.stage.history
+        assert row.result == result and store.history(row.id) == play.environment.history
         assert store.seconds(row.id) == play.seconds and "sidecar-1.1" in store.logs(row.id)
-        page = report.page(store, row)
+        page = report.render_page(store, row)
     assert page.count("<svg") == 5 and "http-equiv" not in page and "<script" not in page
 
 
@@ -74,7 +74,7 @@
         store.add("a", result(1, 0.5))
         store.add("a", msgspec.structs.replace(result(2, 0.5), interrupted=True))
         store.add("b", result(3, 0.5))
-        left = open_jobs(store, [Job("a", "a", seed) for seed in (1, 2, 3)])
+        left = pending_jobs(store, [Job("a", "a", seed) for seed in (1, 2, 3)])
         assert [job.seed for job in left] == [2, 3]
         store._database.execute("PRAGMA max_page_count = 12")
         with pytest.raises(StoreError, match="full"):
@@ -93,8 +93,8 @@
     first = rows([0.8 + n for n in noise])
     worse = compare(first, rows([0.7 + n for n in reversed(noise)]))
     same = compare(first, rows([0.8 + n for n in reversed(noise)]))
-    assert worse.shown and worse.low <= worse.difference <= worse.high < 0
-    assert not same.shown and same.pairs == 8
+    assert worse.significant and worse.low <= worse.difference <= worse.high < 0
+    assert not same.significant and same.pairs == 8
     with pytest.raises(RigError, match="too few"):
         compare(first, rows([0.8]))
 
@@ -105,7 +105,7 @@
     for n in range(1, 101):
         memory = 30e6 + grows * 1e5 * max(0, n - 50)
         gauges = {"sidecar-0": {"resident_memory_bytes": memory, "open_descriptors": 20.0 + n % 5}}
-        seconds.append(Second(float(n), Counter(), {}, {}, {}, gauges))
+        seconds.append(SecondStats(float(n), Counter(), {}, {}, {}, gauges))
     assert {finding.rule for finding in soak.judge(seconds)} == found
 
 
@@ -121,7 +121,7 @@
 ) -> None:
     programs = {"sidecar-0": Program((sys.executable, "-c", f"raise SystemExit({exit_argument})"))}
     with pytest.raises(error, match=message):
-        uvloop.run(Play(plan.decode(SMOKE.encode()), 1, programs=programs).run())
+        uvloop.run(PlanRun(plan.decode(SMOKE.encode()), 1, programs=programs).run())
 
 
 def test_interrupted_run_is_stored_and_leaves_no_process(tmp_path: Path) -> None:
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -127,11 +127,11 @@
         volume = Volume()
         file = volume.open("a")
         volume.sync_names()
-        volume.room = 700
+        volume.free_bytes = 700
         with pytest.raises(OSError, match="No space"):
             file.write(b"x" * 1000)
         assert volume.read("a") == b"x" * 700
-        volume.room, volume.failing = None, {"sync"}
+        volume.free_bytes, volume.failing = None, {"sync"}
         with pytest.raises(OSError, match="Input/output"):
             file.sync()
         volume.failing = set()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,13 +12,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucenotch.rig.cuts import FORGOTTEN, MODES, explore
+from sprucenotch.rig.cuts import MODES, SKIPPED_STEPS, explore_power_cuts
 from sprucenotch.rig.volume import Volume
 from sprucenotch.seams.disk import RealDisk
 from sprucenotch.store.frame import FORMAT, PREAMBLE, Header, encode, file_start
 from sprucenotch.store.reading import Owner, Schema, read
 from sprucenotch.store.store import Bounds, Store, StoreLocked, open_store
-from tests.test_command_line import typed
+from tests.test_command_line import run_command
 
 OWNER, NOW = Owner("lab", "sidecar-0"), 1_000_000_000_000
 SCHEMA = Schema(2, int, {1: lambda payload: int(payload)})
@@ -34,13 +34,13 @@
 
 def test_power_cut_loses_no_durable_record_and_start_succeeds() -> None:
     for mode in MODES:
-        found = explore(mode, range(20))
+        found = explore_power_cuts(mode, range(20))
         assert found.cases > 800 and found.broken == []
 
 
-@pytest.mark.parametrize("forgotten", FORGOTTEN)
-def test_exploration_detects_each_omitted_precaution(forgotten: str) -> None:
-    assert explore("always", range(12), forgotten).broken
+@pytest.mark.parametrize("skipped", SKIPPED_STEPS)
+def test_exploration_detects_each_omitted_precaution(skipped: str) -> None:
+    assert explore_power_cuts("always", range(12), skipped).broken
 
 
 @settings(max_examples=150, deadline=None)
@@ -138,7 +138,7 @@
 def test_full_disk_drops_records_and_start_finds_all_intact_ones() -> None:
     disk = Volume()
     opened = open_store(disk, OWNER, SCHEMA, NOW, "always")
-    disk.room = 100
+    disk.free_bytes = 100
     for value in range(10):
         opened.store.append(value)
     assert opened.store.problem == "No space left on device" and opened.store.dropped_records > 0
@@ -193,19 +193,19 @@
         opened.store.append(value)
         opened.store.close()
         opened.store._disk.unlock()
-    assert typed("store", "check", str(tmp_path))[:2] == (
+    assert run_command("store", "check", str(tmp_path))[:2] == (
         0,
         "sidecar-0 of lab: 3 records, last 3\nall is whole\n",
     )
     with (tmp_path / "journal.3").open("ab") as file:
         file.write(b"torn")
-    code, said, _ = typed("store", "check", "--json", str(tmp_path))
+    code, said, _ = run_command("store", "check", "--json", str(tmp_path))
     assert code == 1 and json.loads(said)["refused"] == [{"name": "journal.3", "reason": "torn", "at": ANY}]
-    assert typed("store", "repair", str(tmp_path))[1].endswith("set aside: journal.3.broken-1\n")
-    assert json.loads(typed("store", "show", "--json", str(tmp_path))[1])["records"] == [1, 2, 3]
-    assert typed("store", "check", str(tmp_path))[0] == 0
+    assert run_command("store", "repair", str(tmp_path))[1].endswith("set aside: journal.3.broken-1\n")
+    assert json.loads(run_command("store", "show", "--json", str(tmp_path))[1])["records"] == [1, 2, 3]
+    assert run_command("store", "check", str(tmp_path))[0] == 0
     (tmp_path / "empty").mkdir()
-    code, _, complaint = typed("store", "show", str(tmp_path / "empty"))
+    code, _, complaint = run_command("store", "show", str(tmp_path / "empty"))
     assert code == 2 and complaint.count("\n") == 1
     open_store(RealDisk(tmp_path), OWNER, SCHEMA, NOW)
-    assert typed("store", "repair", str(tmp_path))[0] == 6
+    assert run_command("store", "repair", str(tmp_path))[0] == 6
