--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -21,8 +21,8 @@
 from sprucenotch.rig.engine import Engine, Work
 from sprucenotch.rig.net.link import Link
 from sprucenotch.rig.net.relay import Relay
-from sprucenotch.rig.play import MAX_LOAD_LAG, MAX_LOAD_LAG_P99
 from sprucenotch.rig.process import raise_descriptor_limit
+from sprucenotch.rig.runner import MAX_LOAD_LAG, MAX_LOAD_LAG_P99
 
 KIND = Kind("look", False, 2.0, 0.5)
 
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -23,10 +23,10 @@
 import uvloop
 
 from sprucenotch.rig.client import ClientCall, Clients, RequestResult
+from sprucenotch.rig.environment import Environment
 from sprucenotch.rig.load import kind
 from sprucenotch.rig.plan import Class, Fleet, Load, Plan
 from sprucenotch.rig.revision import ROOT, Program, Programs
-from sprucenotch.rig.stage import Environment
 
 CLASSES = (
     Class(name="look", work=2_000_000, spread=0, aim=500_000_000),
--- a/sprucenotch/cli/rig.py
+++ b/sprucenotch/cli/rig.py
@@ -21,11 +21,11 @@
 from sprucenotch.rig import revision as revisions
 from sprucenotch.rig import soak as soaks
 from sprucenotch.rig import sweep as sweeps
-from sprucenotch.rig.play import PlanRun, Result, SecondStats
 from sprucenotch.rig.process import ProcessError, RigError
 from sprucenotch.rig.revision import Program, RevisionError
+from sprucenotch.rig.run_store import Row, Store, StoreError
+from sprucenotch.rig.runner import PlanRun, Result, SecondStats
 from sprucenotch.rig.sidecar import AddressError
-from sprucenotch.rig.store import Row, Store, StoreError
 from sprucenotch.rig.summary import OUTCOMES
 from sprucenotch.rig.sweep import Job
 from sprucenotch.settings import SettingsError
--- a/sprucenotch/cli/service.py
+++ b/sprucenotch/cli/service.py
@@ -12,7 +12,7 @@
 from sprucenotch.cli.output import Exit, fail
 from sprucenotch.cli.rig import LAB, Jobs, Seeds, StoreFile, exit_with, parse_seeds, run_missing
 from sprucenotch.rig.process import RigError
-from sprucenotch.rig.store import Store
+from sprucenotch.rig.run_store import Store
 from sprucenotch.rig.sweep import Job
 
 
@@ -24,7 +24,7 @@
 ) -> None:
     """Measure how fast service recovers after sidecar restarts, with and without state kept on disk."""
     try:
-        from sprucenotch.rig import service as returns
+        from sprucenotch.rig import restart_recovery as returns
     except ImportError as problem:
         fail(Exit.BAD_INPUT, f"{problem.name} is not installed; {LAB}")
     found: dict[str, dict[str, dict[int, returns.Figures]]] = {}
--- a/sprucenotch/rig/truth/ledger.py
+++ b/sprucenotch/rig/checker/ledger.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from sprucenotch.rig.truth.history import (
+from sprucenotch.rig.checker.history import (
     Ended,
     Event,
     Fault,
--- a/sprucenotch/rig/compare.py
+++ b/sprucenotch/rig/compare.py
@@ -9,7 +9,7 @@
 from scipy import stats  # type: ignore[import-untyped]
 
 from sprucenotch.rig.process import RigError
-from sprucenotch.rig.store import Row
+from sprucenotch.rig.run_store import Row
 
 CONFIDENCE = 0.95
 RESAMPLES = 10_000
--- a/sprucenotch/rig/stage.py
+++ b/sprucenotch/rig/environment.py
@@ -16,19 +16,19 @@
 import msgspec
 
 from sprucenotch.rig import capacity, deployment, syscalls
+from sprucenotch.rig.checker.history import Event, Process, Wrote
 from sprucenotch.rig.discovery import Discovery, Entry
 from sprucenotch.rig.engine import WarmUp, Work
+from sprucenotch.rig.fake_server import EngineSpec, engine
+from sprucenotch.rig.fake_server_proxy import AnyEngine, RemoteDiscovery, RemoteEngine
 from sprucenotch.rig.faults import ClockStep, OnProcesses, Pause, SlowCpu, SystemCalls
+from sprucenotch.rig.network import Network
 from sprucenotch.rig.plan import SECOND, Plan, matching_processes, process_zones
 from sprucenotch.rig.process import ChildProcess, RigError, raise_descriptor_limit
-from sprucenotch.rig.remote import AnyEngine, RemoteDiscovery, RemoteEngine
 from sprucenotch.rig.revision import Program, Programs
 from sprucenotch.rig.sidecar import Sidecar
-from sprucenotch.rig.standin import EngineSpec, engine
-from sprucenotch.rig.state import StateFolders
+from sprucenotch.rig.state_folders import StateFolders
 from sprucenotch.rig.syscalls import Control
-from sprucenotch.rig.truth.history import Event, Process, Wrote
-from sprucenotch.rig.wiring import Network
 
 MAX_LOG_TAIL = 256 * 1024  # bytes kept of each log
 
--- a/sprucenotch/rig/standin.py
+++ b/sprucenotch/rig/fake_server.py
@@ -1,7 +1,7 @@
-"""`python -m sprucenotch.rig.standin`: runs a simulated engine or discovery in a separate process.
+"""`python -m sprucenotch.rig.fake_server`: runs a simulated engine or discovery in a separate process.
 
 It reads commands from standard input, one JSON line each, and writes events and replies to standard output.
-It exits at the end of its input. The testbed's side of this protocol is `remote.py`.
+It exits at the end of its input. The testbed's side of this protocol is `fake_server_proxy.py`.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 import uvloop
 from msgspec import Struct
 
+from sprucenotch.rig.checker.history import Event, Ran
 from sprucenotch.rig.discovery import Discovery
 from sprucenotch.rig.engine import Engine, WarmUp, Work
-from sprucenotch.rig.truth.history import Event, Ran
 
 MAX_LINE = 1 << 24  # bytes
 
--- a/sprucenotch/rig/faults.py
+++ b/sprucenotch/rig/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a plan can contain. `actions.py` injects them.
+"""The faults that a plan can contain. `injection.py` injects them.
 
 `on` is a pattern of process names: `sidecar-0`, `sidecar-*`, `engine-[0-2]`, `engine-*@south` for a zone,
 `discovery`. `share` selects a random part of them, determined by the seed. Links go from `source` to
--- a/sprucenotch/rig/actions.py
+++ b/sprucenotch/rig/injection.py
@@ -13,15 +13,15 @@
 from typing import NamedTuple, TypeAlias
 
 from sprucenotch.rig import faults
+from sprucenotch.rig.checker import history
+from sprucenotch.rig.environment import Environment
 from sprucenotch.rig.faults import Fault, OnLinks, OnProcesses
+from sprucenotch.rig.misbehaving_clients import MisbehavingClients
 from sprucenotch.rig.net.link import Link, LinkFault
 from sprucenotch.rig.plan import SECOND, matching_links, matching_processes
 from sprucenotch.rig.process import RigError
-from sprucenotch.rig.rough import MisbehavingClients
 from sprucenotch.rig.sidecar import restart
-from sprucenotch.rig.stage import Environment
 from sprucenotch.rig.syscalls import SHORT, Call, Rule
-from sprucenotch.rig.truth import history
 
 LINKS_PER_BATCH = 16  # about 70 us each
 
--- a/sprucenotch/rig/trouble.py
+++ b/sprucenotch/rig/named_faults.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from sprucenotch.rig.actions import FaultInjector
 from sprucenotch.rig.faults import Engines, Fault, Surge
+from sprucenotch.rig.injection import FaultInjector
 
 
 class NamedFault(NamedTuple):
--- a/sprucenotch/rig/report.py
+++ b/sprucenotch/rig/report.py
@@ -15,10 +15,10 @@
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
-from sprucenotch.rig.play import SecondStats
-from sprucenotch.rig.store import Row, Store
+from sprucenotch.rig.checker.history import Event, Fault
+from sprucenotch.rig.run_store import Row, Store
+from sprucenotch.rig.runner import SecondStats
 from sprucenotch.rig.summary import OUTCOMES
-from sprucenotch.rig.truth.history import Event, Fault
 
 COLOURS = {"served": "#2b8a3e", "late": "#e8a317", "refused": "#4c78a8", "failed": "#c92a2a"}
 WIDTH, HEIGHT = 10.0, 2.6  # inches
--- a/sprucenotch/rig/service.py
+++ b/sprucenotch/rig/restart_recovery.py
@@ -19,10 +19,10 @@
 from matplotlib import pyplot as plt
 
 from sprucenotch.rig import plan as plans
+from sprucenotch.rig.checker.history import Ended, Event, Process, Sent
 from sprucenotch.rig.compare import Comparison, interval
 from sprucenotch.rig.plan import Class
 from sprucenotch.rig.summary import outcome
-from sprucenotch.rig.truth.history import Ended, Event, Process, Sent
 
 FIRST_RESTART_AT = 4.0  # seconds
 JUDGED_AFTER = 10.0  # seconds from then on that are evaluated
--- a/sprucenotch/rig/play.py
+++ b/sprucenotch/rig/runner.py
@@ -15,18 +15,18 @@
 from msgspec import Struct
 
 from sprucenotch.rig import nemesis, revision
-from sprucenotch.rig.actions import FaultInjector
+from sprucenotch.rig.checker import client_checks, recovery_checks, request_checks
+from sprucenotch.rig.checker.history import Event, Figures, Lag, Process
+from sprucenotch.rig.checker.ledger import MIN_LAG, Finding, Invariant, Ledger, Rules, Terms
 from sprucenotch.rig.client import Clients, RequestResult
+from sprucenotch.rig.environment import Environment
 from sprucenotch.rig.faults import Retune
+from sprucenotch.rig.injection import FaultInjector
 from sprucenotch.rig.load import Load
 from sprucenotch.rig.plan import SECOND, Plan, Step
 from sprucenotch.rig.process import ProcessError, RigError, http_get
 from sprucenotch.rig.revision import Program
-from sprucenotch.rig.stage import Environment
 from sprucenotch.rig.summary import Summary, summarize
-from sprucenotch.rig.truth import checks, more_checks, recovery
-from sprucenotch.rig.truth.history import Event, Figures, Lag, Process
-from sprucenotch.rig.truth.ledger import MIN_LAG, Finding, Invariant, Ledger, Rules, Terms
 
 LAG_INTERVAL = 0.01  # seconds between measurements of the testbed's own lag
 MAX_LOAD_LAG = 0.25  # seconds; a load that lags more does not match the plan
@@ -83,7 +83,7 @@
         programs: Mapping[str, Program] | None = None,
     ) -> None:
         self.plan, self.seed, self._each_second = plan, seed, each_second
-        self._invariants = checks.standard_invariants() if invariants is None else invariants
+        self._invariants = request_checks.standard_invariants() if invariants is None else invariants
         self.environment = Environment(plan, seed, folder, programs)
         self.faults = FaultInjector(self.environment)
         self.total: Counter[tuple[str, str]] = Counter()
@@ -137,8 +137,8 @@
                     for e in environment.history
                     if isinstance(e, Process) and e.what == "started"
                 }
-                environment.history += recovery.restored_states(self.logs, started)
-                environment.history += more_checks.logged_faults(self.logs, started)
+                environment.history += recovery_checks.restored_states(self.logs, started)
+                environment.history += client_checks.logged_faults(self.logs, started)
                 if self.plan.fleet.log == "debug":
                     environment.history += list(environment.sent_attempts())
         self.total += self._recent
--- a/sprucenotch/rig/soak.py
+++ b/sprucenotch/rig/soak.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from sprucenotch.config import units
+from sprucenotch.rig.checker.ledger import Finding
 from sprucenotch.rig.plan import SECOND, Plan
-from sprucenotch.rig.play import SecondStats
-from sprucenotch.rig.truth.ledger import Finding
+from sprucenotch.rig.runner import SecondStats
 from sprucenotch.settings import Problem, SettingsError
 
 MIN_LENGTH = 20.0  # seconds: in shorter runs the quarters are not comparable
--- a/sprucenotch/rig/state.py
+++ b/sprucenotch/rig/state_folders.py
@@ -9,7 +9,7 @@
 
 from sprucenotch.rig.faults import Restart
 from sprucenotch.rig.plan import Plan
-from sprucenotch.rig.volume import replay
+from sprucenotch.rig.simulated_disk import replay
 
 
 class StateFolders:
--- a/sprucenotch/rig/summary.py
+++ b/sprucenotch/rig/summary.py
@@ -11,9 +11,9 @@
 from msgspec import Struct
 
 from sprucenotch.rig import client
+from sprucenotch.rig.checker.history import Ended, Event, Sent
 from sprucenotch.rig.load import kind
 from sprucenotch.rig.plan import Class
-from sprucenotch.rig.truth.history import Ended, Event, Sent
 
 OUTCOMES = ("served", "late", "refused", "failed")
 MAX_LATENCY_US = 3_600_000_000
--- a/sprucenotch/rig/sweep.py
+++ b/sprucenotch/rig/sweep.py
@@ -14,7 +14,7 @@
 
 from sprucenotch.rig import revision
 from sprucenotch.rig.process import ChildProcess
-from sprucenotch.rig.store import Row, Store
+from sprucenotch.rig.run_store import Row, Store
 
 TRACE = "trace.txt"  # file next to the logs of a run that could not be completed
 FRAME = " |+-"  # characters that tracebacks draw around the members of an exception group
--- a/sprucenotch/rig/syscalls.c
+++ b/sprucenotch/rig/syscalls.c
@@ -42,7 +42,7 @@
 };
 
 static struct control *control;
-/* The descriptor of the file in which disk operations are recorded (state.py). Its calls never fail, since the
+/* The descriptor of the file in which disk operations are recorded (state_folders.py). Its calls never fail, since the
  * record would otherwise not match the disk. */
 #define RECORD_SUFFIX ".operations"
 static atomic_int record_fd = -1;
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,9 +12,9 @@
 from sprucenotch.cli.main import app
 from sprucenotch.rig import capacity, plan
 from sprucenotch.rig.capacity import MEGABYTE, CapacityError, Machine, Parts
+from sprucenotch.rig.environment import Environment
+from sprucenotch.rig.fake_server_proxy import RemoteProcess
 from sprucenotch.rig.process import ChildProcess
-from sprucenotch.rig.remote import RemoteProcess
-from sprucenotch.rig.stage import Environment
 from tests.sidecar import run
 
 AMPLE = Machine(memory=10**15, descriptors=10**9)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -20,9 +20,9 @@
 from sprucenotch.config import schema, toml, units
 from sprucenotch.node import config
 from sprucenotch.rig import plan
-from sprucenotch.rig.actions import FaultInjector
-from sprucenotch.rig.stage import Environment
-from sprucenotch.rig.trouble import FaultSwitches
+from sprucenotch.rig.environment import Environment
+from sprucenotch.rig.injection import FaultInjector
+from sprucenotch.rig.named_faults import FaultSwitches
 from sprucenotch.settings import SettingsError
 from tests.sidecar import SETTINGS, configuration, run
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -15,13 +15,13 @@
 from hypothesis import strategies as st
 
 from sprucenotch.rig import nemesis, plan
-from sprucenotch.rig.actions import _in_batches
+from sprucenotch.rig.injection import _in_batches
 from sprucenotch.rig.net.datagrams import PeerRelays
 from sprucenotch.rig.net.link import Link, LinkFault
 from sprucenotch.rig.net.relay import Relay
-from sprucenotch.rig.play import PlanRun, Result
 from sprucenotch.rig.process import raise_descriptor_limit
 from sprucenotch.rig.revision import ROOT, Program
+from sprucenotch.rig.runner import PlanRun, Result
 from sprucenotch.settings import SettingsError
 from tests.planted import AT_STARTS, FAULTS
 from tests.sidecar import run
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -15,14 +15,14 @@
 import uvloop
 
 from sprucenotch.rig import plan, sweep, syscalls
+from sprucenotch.rig.checker.ledger import Finding
 from sprucenotch.rig.hunt import campaign, shrink
 from sprucenotch.rig.hunt.draw import FAMILIES, Schedule, kind, schedule
-from sprucenotch.rig.play import PlanRun, Result
 from sprucenotch.rig.revision import ROOT
-from sprucenotch.rig.store import Row
+from sprucenotch.rig.run_store import Row
+from sprucenotch.rig.runner import PlanRun, Result
 from sprucenotch.rig.summary import Summary
 from sprucenotch.rig.sweep import Failed, Job
-from sprucenotch.rig.truth.ledger import Finding
 from tests.planted_hunt import FAULTS, TRIGGERS
 
 
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -16,8 +16,8 @@
 
 from sprucenotch.rig import syscalls
 from sprucenotch.rig.revision import ROOT
+from sprucenotch.rig.simulated_disk import replay
 from sprucenotch.rig.syscalls import SHORT, Call, Control, Rule
-from sprucenotch.rig.volume import replay
 from sprucenotch.seams.disk import RealDisk
 from sprucenotch.seams.recorded import Operation, Recorded
 from tests.failing_calls import needs_compiler
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -33,8 +33,8 @@
 from sprucenotch.recovery.service import SCHEMA
 from sprucenotch.recovery.writer import Writer
 from sprucenotch.rig import plan
-from sprucenotch.rig.play import PlanRun
-from sprucenotch.rig.volume import Volume
+from sprucenotch.rig.runner import PlanRun
+from sprucenotch.rig.simulated_disk import Volume
 from sprucenotch.seams.clock import Moment
 from sprucenotch.store.reading import Owner
 from sprucenotch.store.store import Opened, StoreLocked, open_store
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -16,11 +16,11 @@
 from sprucenotch.cli.rig import SCENARIOS, load
 from sprucenotch.rig import plan, report, soak
 from sprucenotch.rig.compare import compare
-from sprucenotch.rig.play import PlanRun, Result, SecondStats
 from sprucenotch.rig.process import ProcessError, RigError
 from sprucenotch.rig.revision import ROOT, Program
+from sprucenotch.rig.run_store import Row, Store, StoreError
+from sprucenotch.rig.runner import PlanRun, Result, SecondStats
 from sprucenotch.rig.sidecar import AddressError
-from sprucenotch.rig.store import Row, Store, StoreError
 from sprucenotch.rig.summary import Summary
 from sprucenotch.rig.sweep import Job, pending_jobs
 
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucenotch.rig.volume import SECTOR, Volume, replay
+from sprucenotch.rig.simulated_disk import SECTOR, Volume, replay
 from sprucenotch.seams import clock
 from sprucenotch.seams.disk import Disk, RealDisk
 from sprucenotch.seams.recorded import Recorded
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucenotch.rig.cuts import MODES, SKIPPED_STEPS, explore_power_cuts
-from sprucenotch.rig.volume import Volume
+from sprucenotch.rig.power_cuts import MODES, SKIPPED_STEPS, explore_power_cuts
+from sprucenotch.rig.simulated_disk import Volume
 from sprucenotch.seams.disk import RealDisk
 from sprucenotch.store.frame import FORMAT, PREAMBLE, Header, encode, file_start
 from sprucenotch.store.reading import Owner, Schema, read
