--- a/benchmarks/failing_calls.py
+++ b/benchmarks/failing_calls.py
@@ -23,7 +23,7 @@
 
 import uvloop
 
-from sprucenotch.rig.syscalls import Call, Rule
+from sprucenotch.testbed.syscalls import Call, Rule
 from tests.failing_calls import Program, mixed_load_failures, program, sized_answer_sidecar
 from tests.sidecar import Client, Seen, always_ok, dead_dial, endpoint, nothing_new, ok, request
 from tests.test_program import connected
--- a/benchmarks/hunt.py
+++ b/benchmarks/hunt.py
@@ -17,8 +17,8 @@
 
 import uvloop
 
-from sprucenotch.rig.hunt.campaign import Campaign, broken_rules
-from sprucenotch.rig.hunt.draw import kind, schedule
+from sprucenotch.testbed.hunt.campaign import Campaign, broken_rules
+from sprucenotch.testbed.hunt.draw import kind, schedule
 from tests.planted_hunt import FAULTS, TRIGGERS
 
 SEEDS = range(1, 401)
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -17,12 +17,12 @@
 
 import uvloop
 
-from sprucenotch.rig.client import ClientCall, Clients, Kind, RequestResult
-from sprucenotch.rig.engine import Engine, Work
-from sprucenotch.rig.net.link import Link
-from sprucenotch.rig.net.relay import Relay
-from sprucenotch.rig.process import raise_descriptor_limit
-from sprucenotch.rig.runner import MAX_LOAD_LAG, MAX_LOAD_LAG_P99
+from sprucenotch.testbed.client import ClientCall, Clients, Kind, RequestResult
+from sprucenotch.testbed.engine import Engine, Work
+from sprucenotch.testbed.net.link import Link
+from sprucenotch.testbed.net.relay import Relay
+from sprucenotch.testbed.process import raise_descriptor_limit
+from sprucenotch.testbed.runner import MAX_LOAD_LAG, MAX_LOAD_LAG_P99
 
 KIND = Kind("look", False, 2.0, 0.5)
 
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -22,11 +22,11 @@
 
 import uvloop
 
-from sprucenotch.rig.client import ClientCall, Clients, RequestResult
-from sprucenotch.rig.environment import Environment
-from sprucenotch.rig.load import kind
-from sprucenotch.rig.plan import Class, Fleet, Load, Plan
-from sprucenotch.rig.revision import ROOT, Program, Programs
+from sprucenotch.testbed.client import ClientCall, Clients, RequestResult
+from sprucenotch.testbed.environment import Environment
+from sprucenotch.testbed.load import kind
+from sprucenotch.testbed.plan import Class, Fleet, Load, Plan
+from sprucenotch.testbed.revision import ROOT, Program, Programs
 
 CLASSES = (
     Class(name="look", work=2_000_000, spread=0, aim=500_000_000),
--- a/sprucenotch/cli/demo.py
+++ b/sprucenotch/cli/demo.py
@@ -21,12 +21,12 @@
 
 from sprucenotch.cli.figures import Reading, read
 from sprucenotch.cli.output import AsJson, Exit, fail, print_json
-from sprucenotch.rig.fake_server_proxy import AnyEngine
-from sprucenotch.rig.named_faults import NAMED_FAULTS, FaultSwitches
-from sprucenotch.rig.plan import CLASSES, Fleet, Load, Plan, Step
-from sprucenotch.rig.process import RigError
-from sprucenotch.rig.runner import MAX_LOAD_LAG, PlanRun, SecondStats
-from sprucenotch.rig.summary import OUTCOMES
+from sprucenotch.testbed.fake_server_proxy import AnyEngine
+from sprucenotch.testbed.named_faults import NAMED_FAULTS, FaultSwitches
+from sprucenotch.testbed.plan import CLASSES, Fleet, Load, Plan, Step
+from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.runner import MAX_LOAD_LAG, PlanRun, SecondStats
+from sprucenotch.testbed.summary import OUTCOMES
 
 KEYS = {trouble.key: name for name, trouble in NAMED_FAULTS.items()}
 BAR = 7  # width: the most requests that an engine holds, one running and six queued
--- a/sprucenotch/cli/figures.py
+++ b/sprucenotch/cli/figures.py
@@ -8,7 +8,7 @@
 import msgspec
 from prometheus_client.openmetrics.parser import text_string_to_metric_families
 
-from sprucenotch.rig.process import http_get
+from sprucenotch.testbed.process import http_get
 
 Labels = tuple[str, ...]
 
--- a/sprucenotch/cli/hunt.py
+++ b/sprucenotch/cli/hunt.py
@@ -11,10 +11,10 @@
 from sprucenotch.cli.output import Exit, fail
 from sprucenotch.cli.rig import Jobs, Seeds, StoreFile, exit_with, parse_seeds, progress
 from sprucenotch.config import units
-from sprucenotch.rig.hunt import campaign
-from sprucenotch.rig.hunt.campaign import BrokenRule, Campaign, Totals
-from sprucenotch.rig.process import RigError
-from sprucenotch.rig.sweep import Failed, Job
+from sprucenotch.testbed.hunt import campaign
+from sprucenotch.testbed.hunt.campaign import BrokenRule, Campaign, Totals
+from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.sweep import Failed, Job
 
 MIN_LENGTH, MAX_LENGTH = 8.0, 600.0  # seconds of a run
 MAX_TIME_LINES = 25  # of the time line of a find that are printed
--- a/sprucenotch/cli/rig.py
+++ b/sprucenotch/cli/rig.py
@@ -17,18 +17,18 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
 from sprucenotch.cli.output import AsJson, Exit, columns, fail, print_json
-from sprucenotch.rig import plan as plans
-from sprucenotch.rig import revision as revisions
-from sprucenotch.rig import soak as soaks
-from sprucenotch.rig import sweep as sweeps
-from sprucenotch.rig.process import ProcessError, RigError
-from sprucenotch.rig.revision import Program, RevisionError
-from sprucenotch.rig.run_store import Row, Store, StoreError
-from sprucenotch.rig.runner import PlanRun, Result, SecondStats
-from sprucenotch.rig.sidecar import AddressError
-from sprucenotch.rig.summary import OUTCOMES
-from sprucenotch.rig.sweep import Job
 from sprucenotch.settings import SettingsError
+from sprucenotch.testbed import plan as plans
+from sprucenotch.testbed import revision as revisions
+from sprucenotch.testbed import soak as soaks
+from sprucenotch.testbed import sweep as sweeps
+from sprucenotch.testbed.process import ProcessError, RigError
+from sprucenotch.testbed.revision import Program, RevisionError
+from sprucenotch.testbed.run_store import Row, Store, StoreError
+from sprucenotch.testbed.runner import PlanRun, Result, SecondStats
+from sprucenotch.testbed.sidecar import AddressError
+from sprucenotch.testbed.summary import OUTCOMES
+from sprucenotch.testbed.sweep import Job
 
 app = typer.Typer(
     no_args_is_help=True, help="Testbed: run several processes with faults and check what breaks."
@@ -37,7 +37,7 @@
     ProcessError: Exit.PROCESS, AddressError: Exit.ADDRESS, StoreError: Exit.STORE,
     RevisionError: Exit.REVISION,
 }  # fmt: skip
-SCENARIOS = Path(str(resources.files("sprucenotch.rig") / "scenarios"))
+SCENARIOS = Path(str(resources.files("sprucenotch.testbed") / "scenarios"))
 LAB = "install it with pip install 'sprucenotch[lab]'"
 
 PlanName: TypeAlias = Annotated[str, typer.Argument(help="A file, or the name of a shipped scenario.")]
@@ -290,8 +290,8 @@
     """Play two revisions of the sidecar over the same seeds, alternating, and say whether they differ
     significantly."""
     try:
-        from sprucenotch.rig.compare import CONFIDENCE
-        from sprucenotch.rig.compare import compare as compared
+        from sprucenotch.testbed.compare import CONFIDENCE
+        from sprucenotch.testbed.compare import compare as compared
     except ImportError as problem:
         fail(Exit.BAD_INPUT, f"{problem.name} is not installed; {LAB}")
     source = load(plan).source
@@ -325,7 +325,7 @@
 ) -> None:
     """Write a run as one HTML page."""
     try:
-        from sprucenotch.rig import report as reports
+        from sprucenotch.testbed import report as reports
     except ImportError as problem:
         fail(Exit.BAD_INPUT, f"{problem.name} is not installed; {LAB}")
     if not store.is_file():
--- a/sprucenotch/cli/service.py
+++ b/sprucenotch/cli/service.py
@@ -11,9 +11,9 @@
 
 from sprucenotch.cli.output import Exit, fail
 from sprucenotch.cli.rig import LAB, Jobs, Seeds, StoreFile, exit_with, parse_seeds, run_missing
-from sprucenotch.rig.process import RigError
-from sprucenotch.rig.run_store import Store
-from sprucenotch.rig.sweep import Job
+from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.run_store import Store
+from sprucenotch.testbed.sweep import Job
 
 
 def service(
@@ -24,7 +24,7 @@
 ) -> None:
     """Measure how fast service recovers after sidecar restarts, with and without state kept on disk."""
     try:
-        from sprucenotch.rig import restart_recovery as returns
+        from sprucenotch.testbed import restart_recovery as returns
     except ImportError as problem:
         fail(Exit.BAD_INPUT, f"{problem.name} is not installed; {LAB}")
     found: dict[str, dict[str, dict[int, returns.Figures]]] = {}
--- a/sprucenotch/rig/capacity.py
+++ b/sprucenotch/testbed/capacity.py
@@ -11,9 +11,9 @@
 from typing import NamedTuple
 
 from sprucenotch.node.config import MEMORY_LEAST
-from sprucenotch.rig.faults import Restart
-from sprucenotch.rig.plan import Plan, matching_processes
-from sprucenotch.rig.process import RigError
+from sprucenotch.testbed.faults import Restart
+from sprucenotch.testbed.plan import Plan, matching_processes
+from sprucenotch.testbed.process import RigError
 
 MEGABYTE = 1_000_000
 # Of the available memory. The rest is for the testbed itself, which holds the history of all requests, and
--- a/sprucenotch/rig/checker/client_checks.py
+++ b/sprucenotch/testbed/checker/client_checks.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator, Mapping
 from typing import Literal
 
-from sprucenotch.rig.checker.history import Left, Process, Ran, Said, Sent, Stuck, Wrote
-from sprucenotch.rig.checker.ledger import Finding, Ledger
+from sprucenotch.testbed.checker.history import Left, Process, Ran, Said, Sent, Stuck, Wrote
+from sprucenotch.testbed.checker.ledger import Finding, Ledger
 
 LEFT_GRACE = 0.1  # seconds after the client's close within which an attempt may still begin
 DEADLINE_SLACK = 0.15  # seconds by which a deadline sent to a server may exceed the time left
--- a/sprucenotch/rig/checker/ledger.py
+++ b/sprucenotch/testbed/checker/ledger.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from sprucenotch.rig.checker.history import (
+from sprucenotch.testbed.checker.history import (
     Ended,
     Event,
     Fault,
--- a/sprucenotch/rig/checker/recovery_checks.py
+++ b/sprucenotch/testbed/checker/recovery_checks.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from sprucenotch.rig.checker.history import Recalled, Told
-from sprucenotch.rig.checker.ledger import Finding, Ledger
+from sprucenotch.testbed.checker.history import Recalled, Told
+from sprucenotch.testbed.checker.ledger import Finding, Ledger
 
 STORED_WITHIN = 0.5  # seconds
 SYNCED_WITHIN = 1.5
--- a/sprucenotch/rig/checker/request_checks.py
+++ b/sprucenotch/testbed/checker/request_checks.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterator
 from itertools import pairwise
 
-from sprucenotch.rig.checker.client_checks import client_and_log_invariants
-from sprucenotch.rig.checker.history import Figures, Left, Listed, Process, Sent, Surplus
-from sprucenotch.rig.checker.ledger import Finding, Invariant, Ledger
-from sprucenotch.rig.checker.recovery_checks import RestoredState
+from sprucenotch.testbed.checker.client_checks import client_and_log_invariants
+from sprucenotch.testbed.checker.history import Figures, Left, Listed, Process, Sent, Surplus
+from sprucenotch.testbed.checker.ledger import Finding, Invariant, Ledger
+from sprucenotch.testbed.checker.recovery_checks import RestoredState
 
 RESTART_OVERLAP = 0.2  # seconds around a kill within which a connection may belong to either process
 REFUSED_STATUSES = (429, 503)
--- a/sprucenotch/rig/client.py
+++ b/sprucenotch/testbed/client.py
@@ -17,7 +17,7 @@
 import httptools
 
 from sprucenotch.node.config import address
-from sprucenotch.rig.checker import history
+from sprucenotch.testbed.checker import history
 
 LATE_ANSWER_WAIT = 0.5  # seconds that a client waits beyond its deadline
 BODY = b"{}"
--- a/sprucenotch/rig/compare.py
+++ b/sprucenotch/testbed/compare.py
@@ -8,8 +8,8 @@
 import numpy as np
 from scipy import stats  # type: ignore[import-untyped]
 
-from sprucenotch.rig.process import RigError
-from sprucenotch.rig.run_store import Row
+from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.run_store import Row
 
 CONFIDENCE = 0.95
 RESAMPLES = 10_000
--- a/sprucenotch/rig/deployment.py
+++ b/sprucenotch/testbed/deployment.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from sprucenotch.rig.plan import SECOND, Class, Plan
+from sprucenotch.testbed.plan import SECOND, Class, Plan
 
 
 def settings(plan: Plan, number: int, attempts: int) -> dict[str, Any]:
--- a/sprucenotch/rig/discovery.py
+++ b/sprucenotch/testbed/discovery.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from sprucenotch.rig.checker.history import Listed, Told
-from sprucenotch.rig.http import Request, Respond, Server, response
+from sprucenotch.testbed.checker.history import Listed, Told
+from sprucenotch.testbed.http import Request, Respond, Server, response
 
 MAX_HOLD = 60.0  # seconds that a watch may wait
 MAX_CHANGES = 1000  # kept; a watch from an older version gets the full list
--- a/sprucenotch/rig/engine.py
+++ b/sprucenotch/testbed/engine.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from sprucenotch.rig.checker.history import Ran, Step
-from sprucenotch.rig.http import Request, Respond, Server, response
+from sprucenotch.testbed.checker.history import Ran, Step
+from sprucenotch.testbed.http import Request, Respond, Server, response
 
 SECOND_ANSWER_DELAY = 0.003  # seconds
 DECLINED = response(503, b"", b"Srv-Declined: 1")
--- a/sprucenotch/rig/environment.py
+++ b/sprucenotch/testbed/environment.py
@@ -15,20 +15,20 @@
 
 import msgspec
 
-from sprucenotch.rig import capacity, deployment, syscalls
-from sprucenotch.rig.checker.history import Event, Process, Wrote
-from sprucenotch.rig.discovery import Discovery, Entry
-from sprucenotch.rig.engine import WarmUp, Work
-from sprucenotch.rig.fake_server import EngineSpec, engine
-from sprucenotch.rig.fake_server_proxy import AnyEngine, RemoteDiscovery, RemoteEngine
-from sprucenotch.rig.faults import ClockStep, OnProcesses, Pause, SlowCpu, SystemCalls
-from sprucenotch.rig.network import Network
-from sprucenotch.rig.plan import SECOND, Plan, matching_processes, process_zones
-from sprucenotch.rig.process import ChildProcess, RigError, raise_descriptor_limit
-from sprucenotch.rig.revision import Program, Programs
-from sprucenotch.rig.sidecar import Sidecar
-from sprucenotch.rig.state_folders import StateFolders
-from sprucenotch.rig.syscalls import Control
+from sprucenotch.testbed import capacity, deployment, syscalls
+from sprucenotch.testbed.checker.history import Event, Process, Wrote
+from sprucenotch.testbed.discovery import Discovery, Entry
+from sprucenotch.testbed.engine import WarmUp, Work
+from sprucenotch.testbed.fake_server import EngineSpec, engine
+from sprucenotch.testbed.fake_server_proxy import AnyEngine, RemoteDiscovery, RemoteEngine
+from sprucenotch.testbed.faults import ClockStep, OnProcesses, Pause, SlowCpu, SystemCalls
+from sprucenotch.testbed.network import Network
+from sprucenotch.testbed.plan import SECOND, Plan, matching_processes, process_zones
+from sprucenotch.testbed.process import ChildProcess, RigError, raise_descriptor_limit
+from sprucenotch.testbed.revision import Program, Programs
+from sprucenotch.testbed.sidecar import Sidecar
+from sprucenotch.testbed.state_folders import StateFolders
+from sprucenotch.testbed.syscalls import Control
 
 MAX_LOG_TAIL = 256 * 1024  # bytes kept of each log
 
--- a/sprucenotch/rig/fake_server.py
+++ b/sprucenotch/testbed/fake_server.py
@@ -1,4 +1,4 @@
-"""`python -m sprucenotch.rig.fake_server`: runs a simulated engine or discovery in a separate process.
+"""`python -m sprucenotch.testbed.fake_server`: runs a simulated engine or discovery in a separate process.
 
 It reads commands from standard input, one JSON line each, and writes events and replies to standard output.
 It exits at the end of its input. The testbed's side of this protocol is `fake_server_proxy.py`.
@@ -16,9 +16,9 @@
 import uvloop
 from msgspec import Struct
 
-from sprucenotch.rig.checker.history import Event, Ran
-from sprucenotch.rig.discovery import Discovery
-from sprucenotch.rig.engine import Engine, WarmUp, Work
+from sprucenotch.testbed.checker.history import Event, Ran
+from sprucenotch.testbed.discovery import Discovery
+from sprucenotch.testbed.engine import Engine, WarmUp, Work
 
 MAX_LINE = 1 << 24  # bytes
 
--- a/sprucenotch/rig/fake_server_proxy.py
+++ b/sprucenotch/testbed/fake_server_proxy.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from sprucenotch.rig.checker.history import Event, Ran
-from sprucenotch.rig.discovery import Entry
-from sprucenotch.rig.engine import Engine
-from sprucenotch.rig.fake_server import MAX_LINE, Command, EngineSpec, Reply
-from sprucenotch.rig.process import ChildProcess, ProcessError
+from sprucenotch.testbed.checker.history import Event, Ran
+from sprucenotch.testbed.discovery import Entry
+from sprucenotch.testbed.engine import Engine
+from sprucenotch.testbed.fake_server import MAX_LINE, Command, EngineSpec, Reply
+from sprucenotch.testbed.process import ChildProcess, ProcessError
 
 REPLY_TIMEOUT = 10.0  # seconds: a paused process replies when it is resumed
 
@@ -31,7 +31,7 @@
 
     async def spawn(self, first: str) -> None:
         self._first = first
-        command = (sys.executable, "-m", "sprucenotch.rig.fake_server", first)
+        command = (sys.executable, "-m", "sprucenotch.testbed.fake_server", first)
         # Every sidecar holds connections to it, and discovery has a listener for each sidecar.
         self.child = ChildProcess(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, descriptors=None)
         stream = asyncio.StreamReader(limit=MAX_LINE)
--- a/sprucenotch/rig/hunt/campaign.py
+++ b/sprucenotch/testbed/hunt/campaign.py
@@ -10,12 +10,12 @@
 
 from msgspec import Struct, field, structs
 
-from sprucenotch.rig import sweep
-from sprucenotch.rig.checker.ledger import Finding
-from sprucenotch.rig.hunt.draw import Schedule, schedule
-from sprucenotch.rig.hunt.shrink import Shrunk, shrink
-from sprucenotch.rig.run_store import Row, Store
-from sprucenotch.rig.sweep import Failed, Job
+from sprucenotch.testbed import sweep
+from sprucenotch.testbed.checker.ledger import Finding
+from sprucenotch.testbed.hunt.draw import Schedule, schedule
+from sprucenotch.testbed.hunt.shrink import Shrunk, shrink
+from sprucenotch.testbed.run_store import Row, Store
+from sprucenotch.testbed.sweep import Failed, Job
 
 ENDED_EARLY = "ended or did not start"  # the rule broken by a run that cannot continue
 CRASHED = "the testbed crashed"  # not a find, as the program is not at fault
--- a/sprucenotch/rig/hunt/shrink.py
+++ b/sprucenotch/testbed/hunt/shrink.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct, structs
 
-from sprucenotch.rig.hunt.draw import Schedule
+from sprucenotch.testbed.hunt.draw import Schedule
 
 PLAYS_PER_CANDIDATE = 2
 MAX_PLAYS = 60  # in all, to reduce one schedule
--- a/sprucenotch/rig/injection.py
+++ b/sprucenotch/testbed/injection.py
@@ -12,16 +12,16 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import NamedTuple, TypeAlias
 
-from sprucenotch.rig import faults
-from sprucenotch.rig.checker import history
-from sprucenotch.rig.environment import Environment
-from sprucenotch.rig.faults import Fault, OnLinks, OnProcesses
-from sprucenotch.rig.misbehaving_clients import MisbehavingClients
-from sprucenotch.rig.net.link import Link, LinkFault
-from sprucenotch.rig.plan import SECOND, matching_links, matching_processes
-from sprucenotch.rig.process import RigError
-from sprucenotch.rig.sidecar import restart
-from sprucenotch.rig.syscalls import SHORT, Call, Rule
+from sprucenotch.testbed import faults
+from sprucenotch.testbed.checker import history
+from sprucenotch.testbed.environment import Environment
+from sprucenotch.testbed.faults import Fault, OnLinks, OnProcesses
+from sprucenotch.testbed.misbehaving_clients import MisbehavingClients
+from sprucenotch.testbed.net.link import Link, LinkFault
+from sprucenotch.testbed.plan import SECOND, matching_links, matching_processes
+from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.sidecar import restart
+from sprucenotch.testbed.syscalls import SHORT, Call, Rule
 
 LINKS_PER_BATCH = 16  # about 70 us each
 
--- a/sprucenotch/rig/load.py
+++ b/sprucenotch/testbed/load.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import NamedTuple
 
-from sprucenotch.rig.client import ClientCall, Clients, Kind, RequestResult
-from sprucenotch.rig.plan import SECOND, Class, Plan
+from sprucenotch.testbed.client import ClientCall, Clients, Kind, RequestResult
+from sprucenotch.testbed.plan import SECOND, Class, Plan
 
 MAX_IN_FLIGHT = 2000  # calls; further arrivals are skipped, to bound the memory of the testbed
 
--- a/sprucenotch/rig/misbehaving_clients.py
+++ b/sprucenotch/testbed/misbehaving_clients.py
@@ -10,10 +10,10 @@
 from typing import Literal, NamedTuple, TypeAlias
 
 from sprucenotch.node.config import address
-from sprucenotch.rig.checker import history
-from sprucenotch.rig.client import Kind
-from sprucenotch.rig.load import kind
-from sprucenotch.rig.plan import Plan
+from sprucenotch.testbed.checker import history
+from sprucenotch.testbed.client import Kind
+from sprucenotch.testbed.load import kind
+from sprucenotch.testbed.plan import Plan
 
 Behaviour: TypeAlias = Literal["slow", "leaving", "stuck", "idle", "pipelined"]
 PARTS, PART_PAUSE = 12, 0.1  # parts of a slowly written request, seconds between two of them
--- a/sprucenotch/rig/named_faults.py
+++ b/sprucenotch/testbed/named_faults.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from sprucenotch.rig.faults import Engines, Fault, Surge
-from sprucenotch.rig.injection import FaultInjector
+from sprucenotch.testbed.faults import Engines, Fault, Surge
+from sprucenotch.testbed.injection import FaultInjector
 
 
 class NamedFault(NamedTuple):
--- a/sprucenotch/rig/nemesis.py
+++ b/sprucenotch/testbed/nemesis.py
@@ -4,8 +4,8 @@
 
 import random
 
-from sprucenotch.rig.faults import SELF_ENDING
-from sprucenotch.rig.plan import SECOND, Plan, Step
+from sprucenotch.testbed.faults import SELF_ENDING
+from sprucenotch.testbed.plan import SECOND, Plan, Step
 
 SELF_ENDING_DURATION = 2.0  # seconds that a fault which ends by itself counts as active
 
--- a/sprucenotch/rig/net/datagrams.py
+++ b/sprucenotch/testbed/net/datagrams.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import cast
 
-from sprucenotch.rig.net.link import Link
+from sprucenotch.testbed.net.link import Link
 
 HOST = "127.0.0.1"
 
--- a/sprucenotch/rig/net/relay.py
+++ b/sprucenotch/testbed/net/relay.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from sprucenotch.rig.net.link import Direction, Link
+from sprucenotch.testbed.net.link import Direction, Link
 
 HOST = "127.0.0.1"
 BACKLOG = 1024
--- a/sprucenotch/rig/network.py
+++ b/sprucenotch/testbed/network.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable, Sequence
 
 from sprucenotch.node.config import address
-from sprucenotch.rig.faults import OnLinks
-from sprucenotch.rig.net.datagrams import PeerRelays
-from sprucenotch.rig.net.link import Link
-from sprucenotch.rig.net.relay import Relay
-from sprucenotch.rig.plan import Plan, matching_links
-from sprucenotch.rig.process import free_address
+from sprucenotch.testbed.faults import OnLinks
+from sprucenotch.testbed.net.datagrams import PeerRelays
+from sprucenotch.testbed.net.link import Link
+from sprucenotch.testbed.net.relay import Relay
+from sprucenotch.testbed.plan import Plan, matching_links
+from sprucenotch.testbed.process import free_address
 
 
 class Network:
--- a/sprucenotch/rig/plan.py
+++ b/sprucenotch/testbed/plan.py
@@ -15,8 +15,8 @@
 
 from sprucenotch import settings
 from sprucenotch.config import toml
-from sprucenotch.rig.faults import KINDS, SELF_ENDING, Fault, OnLinks, OnProcesses, Pattern
 from sprucenotch.settings import Problem, SettingsError, Share, Span, Time
+from sprucenotch.testbed.faults import KINDS, SELF_ENDING, Fault, OnLinks, OnProcesses, Pattern
 
 SECOND = 1_000_000_000
 MAX_LENGTH = 3600 * SECOND
--- a/sprucenotch/rig/power_cuts.py
+++ b/sprucenotch/testbed/power_cuts.py
@@ -1,6 +1,6 @@
 """Power cuts at every operation of a store's workload: checks that recovery meets the durability guarantees.
 
-    python -m sprucenotch.rig.power_cuts [SEEDS]
+    python -m sprucenotch.testbed.power_cuts [SEEDS]
 
 Appends, syncs and compactions run on a model of a disk that loses power after the n-th operation, for every
 n, with one outcome of each cut per seed; then the first start after the cut loses power too. The next start
@@ -14,11 +14,11 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from sprucenotch.rig.simulated_disk import Volume
 from sprucenotch.seams.disk import File
 from sprucenotch.store import frame
 from sprucenotch.store.reading import Owner, Schema
 from sprucenotch.store.store import Mode, open_store
+from sprucenotch.testbed.simulated_disk import Volume
 
 MODES: tuple[Mode, ...] = ("none", "interval", "always")
 SKIPPED_STEPS = ("sync", "sync names", "checksum")
--- a/sprucenotch/rig/report.py
+++ b/sprucenotch/testbed/report.py
@@ -15,10 +15,10 @@
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
-from sprucenotch.rig.checker.history import Event, Fault
-from sprucenotch.rig.run_store import Row, Store
-from sprucenotch.rig.runner import SecondStats
-from sprucenotch.rig.summary import OUTCOMES
+from sprucenotch.testbed.checker.history import Event, Fault
+from sprucenotch.testbed.run_store import Row, Store
+from sprucenotch.testbed.runner import SecondStats
+from sprucenotch.testbed.summary import OUTCOMES
 
 COLOURS = {"served": "#2b8a3e", "late": "#e8a317", "refused": "#4c78a8", "failed": "#c92a2a"}
 WIDTH, HEIGHT = 10.0, 2.6  # inches
@@ -149,7 +149,7 @@
     seconds, history = store.seconds(row.id), store.history(row.id)
     faults = fault_intervals(history, row.result.began, row.result.seconds)
     environment = Environment(
-        loader=PackageLoader("sprucenotch.rig"), autoescape=True, undefined=StrictUndefined,
+        loader=PackageLoader("sprucenotch.testbed"), autoescape=True, undefined=StrictUndefined,
         trim_blocks=True, lstrip_blocks=True,
     )  # fmt: skip
     return environment.get_template("report.html").render(
--- a/sprucenotch/rig/restart_recovery.py
+++ b/sprucenotch/testbed/restart_recovery.py
@@ -18,11 +18,11 @@
 matplotlib.use("svg")
 from matplotlib import pyplot as plt
 
-from sprucenotch.rig import plan as plans
-from sprucenotch.rig.checker.history import Ended, Event, Process, Sent
-from sprucenotch.rig.compare import Comparison, interval
-from sprucenotch.rig.plan import Class
-from sprucenotch.rig.summary import outcome
+from sprucenotch.testbed import plan as plans
+from sprucenotch.testbed.checker.history import Ended, Event, Process, Sent
+from sprucenotch.testbed.compare import Comparison, interval
+from sprucenotch.testbed.plan import Class
+from sprucenotch.testbed.summary import outcome
 
 FIRST_RESTART_AT = 4.0  # seconds
 JUDGED_AFTER = 10.0  # seconds from then on that are evaluated
--- a/sprucenotch/rig/revision.py
+++ b/sprucenotch/testbed/revision.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from sprucenotch.rig.process import RigError
+from sprucenotch.testbed.process import RigError
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 
--- a/sprucenotch/rig/run_store.py
+++ b/sprucenotch/testbed/run_store.py
@@ -15,9 +15,9 @@
 import msgspec
 from msgspec import Struct
 
-from sprucenotch.rig.checker.history import Event
-from sprucenotch.rig.process import RigError
-from sprucenotch.rig.runner import Result, SecondStats
+from sprucenotch.testbed.checker.history import Event
+from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.runner import Result, SecondStats
 
 LOCK_TIMEOUT = 60.0  # seconds to wait while another process writes to the file
 TABLES = """
--- a/sprucenotch/rig/runner.py
+++ b/sprucenotch/testbed/runner.py
@@ -14,19 +14,19 @@
 import msgspec
 from msgspec import Struct
 
-from sprucenotch.rig import nemesis, revision
-from sprucenotch.rig.checker import client_checks, recovery_checks, request_checks
-from sprucenotch.rig.checker.history import Event, Figures, Lag, Process
-from sprucenotch.rig.checker.ledger import MIN_LAG, Finding, Invariant, Ledger, Rules, Terms
-from sprucenotch.rig.client import Clients, RequestResult
-from sprucenotch.rig.environment import Environment
-from sprucenotch.rig.faults import Retune
-from sprucenotch.rig.injection import FaultInjector
-from sprucenotch.rig.load import Load
-from sprucenotch.rig.plan import SECOND, Plan, Step
-from sprucenotch.rig.process import ProcessError, RigError, http_get
-from sprucenotch.rig.revision import Program
-from sprucenotch.rig.summary import Summary, summarize
+from sprucenotch.testbed import nemesis, revision
+from sprucenotch.testbed.checker import client_checks, recovery_checks, request_checks
+from sprucenotch.testbed.checker.history import Event, Figures, Lag, Process
+from sprucenotch.testbed.checker.ledger import MIN_LAG, Finding, Invariant, Ledger, Rules, Terms
+from sprucenotch.testbed.client import Clients, RequestResult
+from sprucenotch.testbed.environment import Environment
+from sprucenotch.testbed.faults import Retune
+from sprucenotch.testbed.injection import FaultInjector
+from sprucenotch.testbed.load import Load
+from sprucenotch.testbed.plan import SECOND, Plan, Step
+from sprucenotch.testbed.process import ProcessError, RigError, http_get
+from sprucenotch.testbed.revision import Program
+from sprucenotch.testbed.summary import Summary, summarize
 
 LAG_INTERVAL = 0.01  # seconds between measurements of the testbed's own lag
 MAX_LOAD_LAG = 0.25  # seconds; a load that lags more does not match the plan
--- a/sprucenotch/rig/sidecar.py
+++ b/sprucenotch/testbed/sidecar.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any, Literal
 
-from sprucenotch.rig.checker.history import Event, Process
-from sprucenotch.rig.process import ProcessError, RigError, SidecarProcess
-from sprucenotch.rig.revision import Program
+from sprucenotch.testbed.checker.history import Event, Process
+from sprucenotch.testbed.process import ProcessError, RigError, SidecarProcess
+from sprucenotch.testbed.revision import Program
 
 ADDRESS_IN_USE = 3  # exit code of a sidecar that cannot listen
 KILL_AFTER = 0.7  # seconds from the longest deadline (at least 3 s) to SIGKILL
--- a/sprucenotch/rig/soak.py
+++ b/sprucenotch/testbed/soak.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from sprucenotch.config import units
-from sprucenotch.rig.checker.ledger import Finding
-from sprucenotch.rig.plan import SECOND, Plan
-from sprucenotch.rig.runner import SecondStats
 from sprucenotch.settings import Problem, SettingsError
+from sprucenotch.testbed.checker.ledger import Finding
+from sprucenotch.testbed.plan import SECOND, Plan
+from sprucenotch.testbed.runner import SecondStats
 
 MIN_LENGTH = 20.0  # seconds: in shorter runs the quarters are not comparable
 FAULT_FREE_END = 2.0  # seconds
--- a/sprucenotch/rig/state_folders.py
+++ b/sprucenotch/testbed/state_folders.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-from sprucenotch.rig.faults import Restart
-from sprucenotch.rig.plan import Plan
-from sprucenotch.rig.simulated_disk import replay
+from sprucenotch.testbed.faults import Restart
+from sprucenotch.testbed.plan import Plan
+from sprucenotch.testbed.simulated_disk import replay
 
 
 class StateFolders:
--- a/sprucenotch/rig/summary.py
+++ b/sprucenotch/testbed/summary.py
@@ -10,10 +10,10 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 from msgspec import Struct
 
-from sprucenotch.rig import client
-from sprucenotch.rig.checker.history import Ended, Event, Sent
-from sprucenotch.rig.load import kind
-from sprucenotch.rig.plan import Class
+from sprucenotch.testbed import client
+from sprucenotch.testbed.checker.history import Ended, Event, Sent
+from sprucenotch.testbed.load import kind
+from sprucenotch.testbed.plan import Class
 
 OUTCOMES = ("served", "late", "refused", "failed")
 MAX_LATENCY_US = 3_600_000_000
--- a/sprucenotch/rig/sweep.py
+++ b/sprucenotch/testbed/sweep.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from sprucenotch.rig import revision
-from sprucenotch.rig.process import ChildProcess
-from sprucenotch.rig.run_store import Row, Store
+from sprucenotch.testbed import revision
+from sprucenotch.testbed.process import ChildProcess
+from sprucenotch.testbed.run_store import Row, Store
 
 TRACE = "trace.txt"  # file next to the logs of a run that could not be completed
 FRAME = " |+-"  # characters that tracebacks draw around the members of an exception group
--- a/sprucenotch/rig/syscalls.py
+++ b/sprucenotch/testbed/syscalls.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from sprucenotch.rig.process import RigError
+from sprucenotch.testbed.process import RigError
 
 SOURCE = Path(__file__).with_name("syscalls.c")
 SPARE_LOG = "SPRUCENOTCH_SPARE_LOG"  # environment variable: writes to standard error never fail
--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from sprucenotch.rig import syscalls
-from sprucenotch.rig.syscalls import Control
+from sprucenotch.testbed import syscalls
+from sprucenotch.testbed.syscalls import Control
 from tests.sidecar import Client, Seen, configuration, dead_dial, endpoint, nothing_new, ok, request
 from tests.test_program import COMMAND, ROOT, connected
 
--- a/tests/test_attempt_trace.py
+++ b/tests/test_attempt_trace.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from sprucenotch.rig.checker.client_checks import UnloggedAttempt
-from sprucenotch.rig.checker.history import Event, Process, Ran, Sent, Wrote
-from sprucenotch.rig.checker.ledger import Finding, Ledger, Rules, Terms
+from sprucenotch.testbed.checker.client_checks import UnloggedAttempt
+from sprucenotch.testbed.checker.history import Event, Process, Ran, Sent, Wrote
+from sprucenotch.testbed.checker.ledger import Finding, Ledger, Rules, Terms
 
 STARTED = Process(at=0.0, name="sidecar-0", what="started", life=0)
 SENT = Sent(at=1.0, id="c0-1", call="c0-1", cls="read", sidecar="sidecar-0", due=1.0, deadline=1.0)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,11 +10,11 @@
 from typer.testing import CliRunner
 
 from sprucenotch.cli.main import app
-from sprucenotch.rig import capacity, plan
-from sprucenotch.rig.capacity import MEGABYTE, CapacityError, Machine, Parts
-from sprucenotch.rig.environment import Environment
-from sprucenotch.rig.fake_server_proxy import RemoteProcess
-from sprucenotch.rig.process import ChildProcess
+from sprucenotch.testbed import capacity, plan
+from sprucenotch.testbed.capacity import MEGABYTE, CapacityError, Machine, Parts
+from sprucenotch.testbed.environment import Environment
+from sprucenotch.testbed.fake_server_proxy import RemoteProcess
+from sprucenotch.testbed.process import ChildProcess
 from tests.sidecar import run
 
 AMPLE = Machine(memory=10**15, descriptors=10**9)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -19,11 +19,11 @@
 from sprucenotch import settings
 from sprucenotch.config import schema, toml, units
 from sprucenotch.node import config
-from sprucenotch.rig import plan
-from sprucenotch.rig.environment import Environment
-from sprucenotch.rig.injection import FaultInjector
-from sprucenotch.rig.named_faults import FaultSwitches
 from sprucenotch.settings import SettingsError
+from sprucenotch.testbed import plan
+from sprucenotch.testbed.environment import Environment
+from sprucenotch.testbed.injection import FaultInjector
+from sprucenotch.testbed.named_faults import FaultSwitches
 from tests.sidecar import SETTINGS, configuration, run
 
 ROOT = Path(__file__).parent.parent
@@ -136,7 +136,7 @@
 def test_sidecar_imports_neither_command_line_nor_testbed() -> None:
     code = "import sys, sprucenotch.__main__, sprucenotch.node.serve; print(*sys.modules)"
     done = subprocess.run((sys.executable, "-c", code), cwd=ROOT, capture_output=True, text=True, check=True)
-    own = {f"sprucenotch.{part}" for part in ("cli", "config", "rig", "sim", "node.metrics")}
+    own = {f"sprucenotch.{part}" for part in ("cli", "config", "testbed", "sim", "node.metrics")}
     assert not set(done.stdout.split()) & ({"typer", "rich", "tomllib", "json"} | own)
 
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from sprucenotch.node.listener import bound, listening
-from sprucenotch.rig.syscalls import Call, Rule
+from sprucenotch.testbed.syscalls import Call, Rule
 from tests.failing_calls import UP, Program, needs_compiler, program
 from tests.sidecar import (
     Endpoint,
--- a/tests/test_failing_handover.py
+++ b/tests/test_failing_handover.py
@@ -13,7 +13,7 @@
 
 from sprucenotch.node.config import SECOND
 from sprucenotch.node.host import START_TIMEOUT
-from sprucenotch.rig.syscalls import Call, Rule
+from sprucenotch.testbed.syscalls import Call, Rule
 from tests.failing_calls import needs_compiler, program
 from tests.sidecar import always_ok, dead_dial, endpoint, never, nothing_new, run
 
--- a/tests/test_failing_transfers.py
+++ b/tests/test_failing_transfers.py
@@ -13,7 +13,7 @@
 import errno
 from pathlib import Path
 
-from sprucenotch.rig.syscalls import Call, Rule
+from sprucenotch.testbed.syscalls import Call, Rule
 from tests.failing_calls import mixed_load_failures, needs_compiler, sized_answer_sidecar
 from tests.sidecar import run
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,15 +14,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucenotch.rig import nemesis, plan
-from sprucenotch.rig.injection import _in_batches
-from sprucenotch.rig.net.datagrams import PeerRelays
-from sprucenotch.rig.net.link import Link, LinkFault
-from sprucenotch.rig.net.relay import Relay
-from sprucenotch.rig.process import raise_descriptor_limit
-from sprucenotch.rig.revision import ROOT, Program
-from sprucenotch.rig.runner import PlanRun, Result
 from sprucenotch.settings import SettingsError
+from sprucenotch.testbed import nemesis, plan
+from sprucenotch.testbed.injection import _in_batches
+from sprucenotch.testbed.net.datagrams import PeerRelays
+from sprucenotch.testbed.net.link import Link, LinkFault
+from sprucenotch.testbed.net.relay import Relay
+from sprucenotch.testbed.process import raise_descriptor_limit
+from sprucenotch.testbed.revision import ROOT, Program
+from sprucenotch.testbed.runner import PlanRun, Result
 from tests.planted import AT_STARTS, FAULTS
 from tests.sidecar import run
 
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -14,15 +14,15 @@
 import pytest
 import uvloop
 
-from sprucenotch.rig import plan, sweep, syscalls
-from sprucenotch.rig.checker.ledger import Finding
-from sprucenotch.rig.hunt import campaign, shrink
-from sprucenotch.rig.hunt.draw import FAMILIES, Schedule, kind, schedule
-from sprucenotch.rig.revision import ROOT
-from sprucenotch.rig.run_store import Row
-from sprucenotch.rig.runner import PlanRun, Result
-from sprucenotch.rig.summary import Summary
-from sprucenotch.rig.sweep import Failed, Job
+from sprucenotch.testbed import plan, sweep, syscalls
+from sprucenotch.testbed.checker.ledger import Finding
+from sprucenotch.testbed.hunt import campaign, shrink
+from sprucenotch.testbed.hunt.draw import FAMILIES, Schedule, kind, schedule
+from sprucenotch.testbed.revision import ROOT
+from sprucenotch.testbed.run_store import Row
+from sprucenotch.testbed.runner import PlanRun, Result
+from sprucenotch.testbed.summary import Summary
+from sprucenotch.testbed.sweep import Failed, Job
 from tests.planted_hunt import FAULTS, TRIGGERS
 
 
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -14,12 +14,12 @@
 
 import pytest
 
-from sprucenotch.rig import syscalls
-from sprucenotch.rig.revision import ROOT
-from sprucenotch.rig.simulated_disk import replay
-from sprucenotch.rig.syscalls import SHORT, Call, Control, Rule
 from sprucenotch.seams.disk import RealDisk
 from sprucenotch.seams.recorded import Operation, Recorded
+from sprucenotch.testbed import syscalls
+from sprucenotch.testbed.revision import ROOT
+from sprucenotch.testbed.simulated_disk import replay
+from sprucenotch.testbed.syscalls import SHORT, Call, Control, Rule
 from tests.failing_calls import needs_compiler
 
 WRITES = 20
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -32,12 +32,12 @@
 )
 from sprucenotch.recovery.service import SCHEMA
 from sprucenotch.recovery.writer import Writer
-from sprucenotch.rig import plan
-from sprucenotch.rig.runner import PlanRun
-from sprucenotch.rig.simulated_disk import Volume
 from sprucenotch.seams.clock import Moment
 from sprucenotch.store.reading import Owner
 from sprucenotch.store.store import Opened, StoreLocked, open_store
+from sprucenotch.testbed import plan
+from sprucenotch.testbed.runner import PlanRun
+from sprucenotch.testbed.simulated_disk import Volume
 from tests.helpers import SECOND
 from tests.sidecar import Seen, endpoint, ok, run, status
 
@@ -258,7 +258,7 @@
     probe = "import sys, sprucenotch.node.serve; print(*sys.modules)"
     loaded = subprocess.run((sys.executable, "-c", probe), capture_output=True, text=True, check=True).stdout
     assert "sprucenotch.node.serve" in loaded
-    for part in ("sprucenotch.recovery", "sprucenotch.store", "sprucenotch.rig", "xxhash"):
+    for part in ("sprucenotch.recovery", "sprucenotch.store", "sprucenotch.testbed", "xxhash"):
         assert part not in loaded
 
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -20,7 +20,7 @@
 from sprucenotch.node import transport
 from sprucenotch.node.config import Address
 from sprucenotch.node.frontend import MIN_UNUSED_AGE
-from sprucenotch.rig.syscalls import SHORT, Call, Rule
+from sprucenotch.testbed.syscalls import SHORT, Call, Rule
 from tests.failing_calls import mixed_load_failures, needs_compiler, sized_answer_sidecar
 from tests.sidecar import Client, Sidecar, always_ok, endpoint, request, run, sidecar
 
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -14,15 +14,15 @@
 import uvloop
 
 from sprucenotch.cli.rig import SCENARIOS, load
-from sprucenotch.rig import plan, report, soak
-from sprucenotch.rig.compare import compare
-from sprucenotch.rig.process import ProcessError, RigError
-from sprucenotch.rig.revision import ROOT, Program
-from sprucenotch.rig.run_store import Row, Store, StoreError
-from sprucenotch.rig.runner import PlanRun, Result, SecondStats
-from sprucenotch.rig.sidecar import AddressError
-from sprucenotch.rig.summary import Summary
-from sprucenotch.rig.sweep import Job, pending_jobs
+from sprucenotch.testbed import plan, report, soak
+from sprucenotch.testbed.compare import compare
+from sprucenotch.testbed.process import ProcessError, RigError
+from sprucenotch.testbed.revision import ROOT, Program
+from sprucenotch.testbed.run_store import Row, Store, StoreError
+from sprucenotch.testbed.runner import PlanRun, Result, SecondStats
+from sprucenotch.testbed.sidecar import AddressError
+from sprucenotch.testbed.summary import Summary
+from sprucenotch.testbed.sweep import Job, pending_jobs
 
 SMOKE = """
 title = "a little of everything"
@@ -69,7 +69,7 @@
 def test_sweep_resumes_with_missing_seeds_and_a_full_store_keeps_its_runs(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("sprucenotch.rig.revision.name", lambda revision: "r")
+    monkeypatch.setattr("sprucenotch.testbed.revision.name", lambda revision: "r")
     with Store(tmp_path / "runs") as store:
         store.add("a", result(1, 0.5))
         store.add("a", msgspec.structs.replace(result(2, 0.5), interrupted=True))
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucenotch.rig.simulated_disk import SECTOR, Volume, replay
 from sprucenotch.seams import clock
 from sprucenotch.seams.disk import Disk, RealDisk
 from sprucenotch.seams.recorded import Recorded
+from sprucenotch.testbed.simulated_disk import SECTOR, Volume, replay
 
 NAMES = st.sampled_from("abc")
 STEPS = st.lists(
--- a/tests/test_simulated_servers.py
+++ b/tests/test_simulated_servers.py
@@ -5,9 +5,9 @@
 import asyncio
 import json
 
-from sprucenotch.rig.discovery import Discovery, Entry
-from sprucenotch.rig.engine import DECLINED, Engine, Work
-from sprucenotch.rig.http import Request
+from sprucenotch.testbed.discovery import Discovery, Entry
+from sprucenotch.testbed.engine import DECLINED, Engine, Work
+from sprucenotch.testbed.http import Request
 from tests.sidecar import run
 
 WORK = {b"look": Work(0.001)}
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,12 +12,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucenotch.rig.power_cuts import MODES, SKIPPED_STEPS, explore_power_cuts
-from sprucenotch.rig.simulated_disk import Volume
 from sprucenotch.seams.disk import RealDisk
 from sprucenotch.store.frame import FORMAT, PREAMBLE, Header, encode, file_start
 from sprucenotch.store.reading import Owner, Schema, read
 from sprucenotch.store.store import Bounds, Store, StoreLocked, open_store
+from sprucenotch.testbed.power_cuts import MODES, SKIPPED_STEPS, explore_power_cuts
+from sprucenotch.testbed.simulated_disk import Volume
 from tests.test_command_line import run_command
 
 OWNER, NOW = Owner("lab", "sidecar-0"), 1_000_000_000_000
