--- a/tests/planted.py
+++ b/tests/planted.py
@@ -1,4 +1,4 @@
-"""`python -m tests.planted FAULT`: a sidecar with a deliberate fault that the rig must detect."""
+"""`python -m tests.planted FAULT`: a sidecar with a deliberate fault that the testbed must detect."""
 
 from __future__ import annotations
 
