--- a/sprucenotch/testbed/power_cuts.py
+++ b/sprucenotch/testbed/power_cuts.py
@@ -18,7 +18,7 @@
 from sprucenotch.store import frame
 from sprucenotch.store.reading import Owner, Schema
 from sprucenotch.store.store import Mode, open_store
-from sprucenotch.testbed.simulated_disk import Volume
+from sprucenotch.testbed.simulated_disk import SimulatedDisk
 
 MODES: tuple[Mode, ...] = ("none", "interval", "always")
 SKIPPED_STEPS = ("sync", "sync names", "checksum")
@@ -35,8 +35,8 @@
 class PowerCutDisk:
     """A disk that loses power after a number of operations, and may skip one kind of them."""
 
-    def __init__(self, volume: Volume, operations: int, skipped: str = "") -> None:
-        self._volume, self._left, self._skipped = volume, operations, skipped
+    def __init__(self, disk: SimulatedDisk, operations: int, skipped: str = "") -> None:
+        self._disk, self._left, self._skipped = disk, operations, skipped
 
     def take_operation(self, operation: str) -> bool:
         """Count an operation; return whether to perform it. Raises PowerCut when none is left."""
@@ -46,32 +46,32 @@
         return operation != self._skipped
 
     def names(self) -> list[str]:
-        return self._volume.names()
+        return self._disk.names()
 
     def read(self, name: str) -> bytes:
-        return self._volume.read(name)
+        return self._disk.read(name)
 
     def open(self, name: str, anew: bool = False) -> File:
         self.take_operation("open")
-        return _PowerCutFile(self, self._volume.open(name, anew))
+        return _PowerCutFile(self, self._disk.open(name, anew))
 
     def rename(self, old: str, new: str) -> None:
         self.take_operation("rename")
-        self._volume.rename(old, new)
+        self._disk.rename(old, new)
 
     def remove(self, name: str) -> None:
         self.take_operation("remove")
-        self._volume.remove(name)
+        self._disk.remove(name)
 
     def lock(self, name: str) -> None:
-        self._volume.lock(name)
+        self._disk.lock(name)
 
     def unlock(self) -> None:
-        self._volume.unlock()
+        self._disk.unlock()
 
     def sync_names(self) -> None:
         if self.take_operation("sync names"):
-            self._volume.sync_names()
+            self._disk.sync_names()
 
 
 class _PowerCutFile:
@@ -142,24 +142,24 @@
         for at in range(10_000):
             finished = False
             for seed in seeds:
-                progress, volume = Progress(), Volume()
+                progress, disk = Progress(), SimulatedDisk()
                 with contextlib.suppress(PowerCut):
-                    run_workload(PowerCutDisk(volume, at, skipped), mode, progress)
-                volume.crash(seed)
+                    run_workload(PowerCutDisk(disk, at, skipped), mode, progress)
+                disk.crash(seed)
                 with contextlib.suppress(PowerCut):  # the first start loses power as well
-                    open_store(PowerCutDisk(volume, seed % 13, skipped), OWNER, SCHEMA, NOW, mode)
-                volume.crash(seed + 1)
+                    open_store(PowerCutDisk(disk, seed % 13, skipped), OWNER, SCHEMA, NOW, mode)
+                disk.crash(seed + 1)
                 cases += 1
                 finished |= progress.finished
-                if (wrong := _violation(volume, progress)) is not None:
+                if (wrong := _violation(disk, progress)) is not None:
                     broken.append(f"{mode}, cut after {at}, seed {seed}: {wrong}")
             if finished:
                 return Explored(cases, broken)
     raise AssertionError("the workload does not end")
 
 
-def _violation(volume: Volume, progress: Progress) -> str | None:
-    opened = open_store(volume, OWNER, SCHEMA, NOW)
+def _violation(disk: SimulatedDisk, progress: Progress) -> str | None:
+    opened = open_store(disk, OWNER, SCHEMA, NOW)
     recovered = list(opened.found.records)
     if opened.problem:
         return f"the store cannot be opened: {opened.problem}"
--- a/sprucenotch/testbed/simulated_disk.py
+++ b/sprucenotch/testbed/simulated_disk.py
@@ -6,7 +6,7 @@
 data that it should have written stays in doubt, as on Linux: later syncs do not write it.
 
 Operations of a real process are recorded by `seams/recorded.py` in a file, and `replay` builds from it the
-volume whose `crash` gives what a power cut at that moment would have left.
+disk whose `crash` gives what a power cut at that moment would have left.
 """
 
 from __future__ import annotations
@@ -102,7 +102,7 @@
     removed: tuple[str, ...] = ()
 
 
-class Volume:
+class SimulatedDisk:
     """A folder in memory. Its faults (`free_bytes`, `slow`, `failing`) may be set at any time."""
 
     def __init__(self, sleep: Callable[[float], None] = time.sleep) -> None:
@@ -205,14 +205,14 @@
 
 
 class OpenFile:
-    def __init__(self, volume: Volume, inode: Inode) -> None:
-        self._volume, self._inode = volume, inode
+    def __init__(self, disk: SimulatedDisk, inode: Inode) -> None:
+        self._disk, self._inode = disk, inode
 
     def write(self, data: bytes) -> None:
-        self._volume._begin("write")
-        free_bytes = self._volume.free_bytes
+        self._disk._begin("write")
+        free_bytes = self._disk.free_bytes
         if free_bytes is not None:
-            self._volume.free_bytes = max(0, free_bytes - len(data))
+            self._disk.free_bytes = max(0, free_bytes - len(data))
             if len(data) > free_bytes:
                 if free_bytes:
                     self._inode.write(data[:free_bytes])
@@ -222,29 +222,29 @@
 
     def sync(self) -> None:
         try:
-            self._volume._begin("sync")
+            self._disk._begin("sync")
         except OSError:
             self._inode.fail_sync()
             raise
         self._inode.sync()
 
     def truncate(self, size: int) -> None:
-        self._volume._begin("write")
+        self._disk._begin("write")
         self._inode.truncate(size)
 
     def close(self) -> None:
         """Does not sync."""
 
 
-def replay(record: bytes, base: Mapping[str, bytes] = MappingProxyType({})) -> Volume:
-    """Build the volume after all operations of a record, starting from the synced files `base`. An incomplete
+def replay(record: bytes, base: Mapping[str, bytes] = MappingProxyType({})) -> SimulatedDisk:
+    """Build the disk after all operations of a record, starting from the synced files `base`. An incomplete
     operation at the end of the record is ignored."""
-    volume, files, at = Volume(), dict[str, OpenFile](), 0
+    disk, files, at = SimulatedDisk(), dict[str, OpenFile](), 0
     for name, data in base.items():
-        file = volume.open(name)
+        file = disk.open(name)
         file.write(data)
         file.sync()
-    volume.sync_names()
+    disk.sync_names()
     while at + 4 <= len(record):
         end = at + 4 + int.from_bytes(record[at : at + 4], "big")
         if end > len(record):
@@ -253,7 +253,7 @@
         at = end
         match operation.do:
             case "open":
-                files[operation.name] = volume.open(operation.name, bool(operation.size))
+                files[operation.name] = disk.open(operation.name, bool(operation.size))
             case "write":
                 files[operation.name].write(operation.data)
             case "sync":
@@ -261,10 +261,10 @@
             case "truncate":
                 files[operation.name].truncate(operation.size)
             case "rename":
-                volume.rename(operation.name, operation.other)
-                files[operation.other] = files.pop(operation.name, volume.open(operation.other))
+                disk.rename(operation.name, operation.other)
+                files[operation.other] = files.pop(operation.name, disk.open(operation.other))
             case "remove":
-                volume.remove(operation.name)
+                disk.remove(operation.name)
             case "sync names":
-                volume.sync_names()
-    return volume
+                disk.sync_names()
+    return disk
--- a/sprucenotch/testbed/state_folders.py
+++ b/sprucenotch/testbed/state_folders.py
@@ -47,10 +47,10 @@
         if not record.exists():
             return
         self._power_cuts[name] += 1
-        volume = replay(record.read_bytes(), self._bases.get(name, {}))
-        volume.crash(random.Random(f"{self._seed} {name} {self._power_cuts[name]}").getrandbits(32))
+        disk = replay(record.read_bytes(), self._bases.get(name, {}))
+        disk.crash(random.Random(f"{self._seed} {name} {self._power_cuts[name]}").getrandbits(32))
         for path in folder.iterdir():
             path.unlink()
-        volume.write_to(folder)
+        disk.write_to(folder)
         self._bases[name] = {path.name: path.read_bytes() for path in folder.iterdir()}
         record.unlink()
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -46,8 +46,8 @@
     for number in range(WRITES):
         recorded.tell(Operation("write", "journal", data=b"%04d" % number))
     monkeypatch.undo()
-    volume = replay((tmp_path / "sidecar.operations").read_bytes())
-    assert volume.read("journal") == b"".join(b"%04d" % number for number in range(WRITES))
+    disk = replay((tmp_path / "sidecar.operations").read_bytes())
+    assert disk.read("journal") == b"".join(b"%04d" % number for number in range(WRITES))
 
 
 @needs_compiler
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -37,7 +37,7 @@
 from sprucenotch.store.store import Opened, StoreLocked, open_store
 from sprucenotch.testbed import plan
 from sprucenotch.testbed.runner import PlanRun
-from sprucenotch.testbed.simulated_disk import Volume
+from sprucenotch.testbed.simulated_disk import SimulatedDisk
 from tests.helpers import SECOND
 from tests.sidecar import Seen, endpoint, ok, run, status
 
@@ -89,7 +89,7 @@
 # ---- the writer
 
 
-def writer(disk: Volume) -> Writer:
+def writer(disk: SimulatedDisk) -> Writer:
     def opens() -> Opened[StateRecord]:
         return open_store(disk, OWNER, SCHEMA, NOW.wall, "always")
 
@@ -98,13 +98,13 @@
     return made
 
 
-def state(disk: Volume) -> StateRecord | None:
+def state(disk: SimulatedDisk) -> StateRecord | None:
     disk.unlock()
     return fold(open_store(disk, OWNER, SCHEMA, NOW.wall).found.records, NOW)[0]
 
 
 def test_stored_list_survives_records_without_list() -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     first = writer(disk)
     first.put(kept(earlier_by(NOW, 5), seq=41))
     assert first.close(9)
@@ -119,7 +119,7 @@
 
 
 def test_writer_waits_for_lock_in_background_and_then_stores_all() -> None:
-    disk, freed = Volume(), threading.Event()
+    disk, freed = SimulatedDisk(), threading.Event()
     disk.lock("lock")
     tried = threading.Event()
 
@@ -144,7 +144,7 @@
 
 
 def test_failing_disk_is_reported_and_hanging_disk_delays_nothing() -> None:
-    failing = Volume()
+    failing = SimulatedDisk()
     broken = writer(failing)
     broken.put(kept(seq=1))
     while broken.store is None:
@@ -153,7 +153,7 @@
     broken.put(kept(seq=2))
     assert broken.close(9) and "Input/output" in broken.problem
     stuck = threading.Event()
-    hanging = Volume(sleep=lambda seconds: bool(stuck.wait(60)))  # type: ignore[arg-type]
+    hanging = SimulatedDisk(sleep=lambda seconds: bool(stuck.wait(60)))  # type: ignore[arg-type]
     hanging.slow = 1.0
     hung = writer(hanging)
     hung.put(kept(seq=1))
@@ -210,7 +210,7 @@
 def test_read_of_hanging_disk_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(predecessor, "READ_TIMEOUT", 0.05)
     stuck = threading.Event()
-    disk = Volume(sleep=lambda seconds: bool(stuck.wait(60)))  # type: ignore[arg-type]
+    disk = SimulatedDisk(sleep=lambda seconds: bool(stuck.wait(60)))  # type: ignore[arg-type]
     disk.slow = 1.0
 
     async def read() -> None:
@@ -279,7 +279,7 @@
     """Writes, syncs, renames or opens fail, as on a full disk; then there is space again."""
     monkeypatch.setattr("sprucenotch.recovery.writer.REOPEN_INTERVAL", 0.01, raising=False)
     for trouble in ("write", "sync", "rename", "open"):
-        disk = Volume()
+        disk = SimulatedDisk()
         keeps = writer(disk)
         keeps.put(kept(seq=1))
         wait_until(lambda keeps=keeps: keeps.store is not None and keeps.store.sequence > 0)  # type: ignore[misc]
@@ -307,7 +307,7 @@
     """Records that could not be read must not be taken for absent and overwritten."""
     monkeypatch.setattr("sprucenotch.recovery.writer.REOPEN_INTERVAL", 0.01, raising=False)
     for trouble in ("names", "descriptors", "open", "lock", "sync"):
-        disk = Volume()
+        disk = SimulatedDisk()
         first = writer(disk)
         first.put(kept(seq=41))
         assert first.close(9)
@@ -327,7 +327,7 @@
 
 
 def test_temporarily_unreadable_folder_is_read_after_retry() -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     first = writer(disk)
     first.put(kept(seq=41))
     assert first.close(9)
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -13,7 +13,7 @@
 from sprucenotch.seams import clock
 from sprucenotch.seams.disk import Disk, RealDisk
 from sprucenotch.seams.recorded import Recorded
-from sprucenotch.testbed.simulated_disk import SECTOR, Volume, replay
+from sprucenotch.testbed.simulated_disk import SECTOR, SimulatedDisk, replay
 
 NAMES = st.sampled_from("abc")
 STEPS = st.lists(
@@ -61,58 +61,60 @@
     with TemporaryDirectory() as folder, TemporaryDirectory() as beside:
         recorded = Recorded(RealDisk(Path(folder)), Path(beside, "record"))
         expected = carry_out(recorded, steps)
-        assert carry_out(Volume(), steps) == expected
-        volume = replay(Path(beside, "record").read_bytes())
-        assert {name: volume.read(name) for name in volume.names()} == expected[-1]
+        assert carry_out(SimulatedDisk(), steps) == expected
+        disk = replay(Path(beside, "record").read_bytes())
+        assert {name: disk.read(name) for name in disk.names()} == expected[-1]
 
 
 @given(STEPS, st.integers(0, 2**32))
-def test_volume_synced_files_survive_a_power_cut(steps: list[tuple[str, str, Any]], seed: int) -> None:
-    volume = Volume()
-    carry_out(volume, steps)
-    for name in volume.names():
-        volume.open(name).sync()
-    volume.sync_names()
-    before = {name: volume.read(name) for name in volume.names()}
-    more = volume.open("more")
+def test_simulated_disk_synced_files_survive_a_power_cut(
+    steps: list[tuple[str, str, Any]], seed: int
+) -> None:
+    disk = SimulatedDisk()
+    carry_out(disk, steps)
+    for name in disk.names():
+        disk.open(name).sync()
+    disk.sync_names()
+    before = {name: disk.read(name) for name in disk.names()}
+    more = disk.open("more")
     more.write(b"x" * 3 * SECTOR)
-    volume.crash(seed)
-    after = {name: volume.read(name) for name in volume.names()}
+    disk.crash(seed)
+    after = {name: disk.read(name) for name in disk.names()}
     torn = after.pop("more", b"")
     assert after == before
     sectors = [torn[at : at + SECTOR] for at in range(0, len(torn), SECTOR)]
     assert all(set(sector) in ({0}, {ord("x")}) for sector in sectors)
 
 
-def replace(volume: Volume, data: bytes, leave_out: str) -> None:
+def replace(disk: SimulatedDisk, data: bytes, leave_out: str) -> None:
     """Replace a file by another, leaving out one of the required steps."""
-    file = volume.open("new", anew=True)
+    file = disk.open("new", anew=True)
     file.write(data)
     if leave_out != "sync":
         file.sync()
     file.close()
     if leave_out == "rename":
-        held = volume.open("held", anew=True)
+        held = disk.open("held", anew=True)
         held.write(data)
         held.sync()
         return
-    volume.rename("new", "held")
+    disk.rename("new", "held")
     if leave_out != "sync names":
-        volume.sync_names()
+        disk.sync_names()
 
 
 @pytest.mark.parametrize("leave_out", ["nothing", "sync", "sync names", "rename"])
-def test_volume_power_cut_reveals_the_step_left_out_of_a_replacement(leave_out: str) -> None:
+def test_simulated_disk_power_cut_reveals_the_step_left_out_of_a_replacement(leave_out: str) -> None:
     old, new = b"o" * 2000, b"n" * 2000
     outcomes = set()
     for seed in range(60):
-        volume = Volume()
-        replace(volume, old, "nothing")
-        replace(volume, new, leave_out)
+        disk = SimulatedDisk()
+        replace(disk, old, "nothing")
+        replace(disk, new, leave_out)
         if leave_out == "rename":  # power is lost before the last sync
-            volume.open("held", anew=True).write(new)
-        volume.crash(seed)
-        outcomes.add(volume.read("held"))
+            disk.open("held", anew=True).write(new)
+        disk.crash(seed)
+        outcomes.add(disk.read("held"))
     if leave_out == "nothing":
         assert outcomes == {new}
     elif leave_out == "sync names":  # acknowledged as durable, but may be lost
@@ -121,23 +123,23 @@
         assert outcomes - {old, new}
 
 
-def test_volume_full_disk_writes_a_part_and_a_later_sync_does_not_repair_a_failed_one() -> None:
+def test_simulated_disk_writes_a_part_when_full_and_later_syncs_repair_no_failed_one() -> None:
     found = set()
     for seed in range(40):
-        volume = Volume()
-        file = volume.open("a")
-        volume.sync_names()
-        volume.free_bytes = 700
+        disk = SimulatedDisk()
+        file = disk.open("a")
+        disk.sync_names()
+        disk.free_bytes = 700
         with pytest.raises(OSError, match="No space"):
             file.write(b"x" * 1000)
-        assert volume.read("a") == b"x" * 700
-        volume.free_bytes, volume.failing = None, {"sync"}
+        assert disk.read("a") == b"x" * 700
+        disk.free_bytes, disk.failing = None, {"sync"}
         with pytest.raises(OSError, match="Input/output"):
             file.sync()
-        volume.failing = set()
+        disk.failing = set()
         file.sync()  # succeeds, but does not write the data of the failed sync
-        volume.crash(seed)
-        found.add(len(volume.read("a").strip(b"\0")))
+        disk.crash(seed)
+        found.add(len(disk.read("a").strip(b"\0")))
     assert found > {0}
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,14 +17,14 @@
 from sprucenotch.store.reading import Owner, Schema, read
 from sprucenotch.store.store import Bounds, Store, StoreLocked, open_store
 from sprucenotch.testbed.power_cuts import MODES, SKIPPED_STEPS, explore_power_cuts
-from sprucenotch.testbed.simulated_disk import Volume
+from sprucenotch.testbed.simulated_disk import SimulatedDisk
 from tests.test_command_line import run_command
 
 OWNER, NOW = Owner("lab", "sidecar-0"), 1_000_000_000_000
 SCHEMA = Schema(2, int, {1: lambda payload: int(payload)})
 
 
-def filled(disk: Volume, *values: int) -> None:
+def filled(disk: SimulatedDisk, *values: int) -> None:
     opened = open_store(disk, OWNER, SCHEMA, NOW)
     for value in values:
         opened.store.append(value)
@@ -48,7 +48,7 @@
 def test_corrupted_file_leaves_prefix_of_records_and_is_not_deleted(
     data: st.DataObject,
 ) -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     filled(disk, *range(20))
     name = data.draw(st.sampled_from([n for n in disk.names() if n != "lock"]))
     before = disk.read(name)
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("reason", FILES)
 def test_refused_file_is_set_aside_with_reason_and_store_opens(reason: str) -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     disk.open("journal.1").write(FILES[reason])
     opened = open_store(disk, OWNER, SCHEMA, NOW, oldest=500 * 10**9)
     assert [(refusal.name, refusal.reason) for refusal in opened.found.refused] == [("journal.1", reason)]
@@ -115,7 +115,7 @@
 
 
 def test_records_of_older_schema_are_read_and_rewritten_by_compaction() -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     disk.open("journal.1").write(file_start(header(schema=1), 0) + encode(1, b"41") + encode(2, b"42"))
     opened = open_store(disk, OWNER, SCHEMA, NOW)
     assert opened.found.records == (41, 42) and not opened.found.refused
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("trouble", ["names", "open", "write", "sync", "lock"])
 def test_failing_disk_is_reported_and_does_not_prevent_start(trouble: str) -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     filled(disk, 1, 2)
     disk.failing = {trouble}
     opened = open_store(disk, OWNER, SCHEMA, NOW)
@@ -136,7 +136,7 @@
 
 
 def test_full_disk_drops_records_and_start_finds_all_intact_ones() -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     opened = open_store(disk, OWNER, SCHEMA, NOW, "always")
     disk.free_bytes = 100
     for value in range(10):
@@ -168,7 +168,7 @@
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 2**32))
 def test_any_mix_of_appends_compactions_and_restarts_keeps_records_in_order(seed: int) -> None:
-    rng, disk, wrote = random.Random(seed), Volume(), list[int]()
+    rng, disk, wrote = random.Random(seed), SimulatedDisk(), list[int]()
     steps: Iterator[None] = iter(())
     store: Store[int] = open_store(disk, OWNER, SCHEMA, NOW, bounds=Bounds(files=3)).store
     for _ in range(rng.randrange(60)):
