--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -49,7 +49,7 @@
         sent += 1
     await clients.finish()
     relay.close()
-    await engine.die()
+    await engine.stop()
     served = sum(result.outcome == "served" for result in ended)
     return statistics.quantiles(lateness, n=100)[98] * 1000, max(lateness) * 1000, served, sent
 
--- a/sprucenotch/testbed/discovery.py
+++ b/sprucenotch/testbed/discovery.py
@@ -69,7 +69,7 @@
             await listener.start()
         self.up = True
 
-    async def die(self) -> None:
+    async def stop(self) -> None:
         """Stop serving: watches end and calls are refused; the list is kept."""
         self.up = False
         for task in self._watches:
@@ -77,7 +77,7 @@
         for listener in self._listeners.values():
             listener.stop()
 
-    async def face(self, sidecar: str) -> str:
+    async def add_listener(self, sidecar: str) -> str:
         """Open a listener for that sidecar and return its address."""
         listener = Server(lambda request, respond: self._handle(sidecar, request, respond))
         await listener.start()
@@ -103,10 +103,10 @@
             return
         cutoff = self._now() - seconds
         self._replica = self._base_version + sum(at <= cutoff for at in self._changed_at)
-        await self.die()
+        await self.stop()
         await self.start()
 
-    async def tell(self, entry: Entry) -> None:
+    async def publish(self, entry: Entry) -> None:
         """Add or update an entry; with health `removed`, delete it."""
         self._changes.append(entry)
         self._changed_at.append(self._now())
--- a/sprucenotch/testbed/engine.py
+++ b/sprucenotch/testbed/engine.py
@@ -69,7 +69,7 @@
         self.failing = self.draining = self.silent = False
         self.twice = self.nonsense = self.endless = False
         self.served = self.declined = 0
-        self.life = 0  # incremented by die(); work started in an earlier life is discarded
+        self.life = 0  # incremented by stop(); work started in an earlier life is discarded
         self._warm_at = 0.0
         self.server = Server(self._handle)
 
@@ -92,7 +92,7 @@
         self._warm_at = time.monotonic() + (self._cold.seconds if cold else 0.0)
         self.up, self.draining = True, False
 
-    async def die(self) -> None:
+    async def stop(self) -> None:
         """Stop serving; requests in progress and their connections are lost."""
         if not self.up:
             return
--- a/sprucenotch/testbed/environment.py
+++ b/sprucenotch/testbed/environment.py
@@ -116,7 +116,7 @@
             self.engines[f"engine-{number}"] = self._engine(f"engine-{number}")
         await asyncio.gather(*(starting.start() for starting in self.engines.values()))
         for place in self.engines:
-            await self.tell(place)
+            await self.publish(place)
         for name in sidecar_names:
             await self._connect_sidecar(name)
         if fleet.peers:
@@ -165,7 +165,7 @@
 
     async def _connect_sidecar(self, name: str) -> None:
         """Open the links from a sidecar to discovery and to the engines."""
-        self._discovery_addresses[name] = await self.discovery.face(name)
+        self._discovery_addresses[name] = await self.discovery.add_listener(name)
         self.network.open_relay(name, "discovery", lambda: self._discovery_addresses[name])
         for place in self.engines:
             await self._connect_engine(name, place)
@@ -190,10 +190,10 @@
             return server.remote.child
         raise RigError(f"{name} is not running as a separate process")
 
-    async def tell(self, place: str, health: str = "up", born_ms: int = 0) -> None:
+    async def publish(self, place: str, health: str = "up", born_ms: int = 0) -> None:
         """Publish an engine in discovery with this health and start time."""
         listed = self.engines[place]
-        await self.discovery.tell(
+        await self.discovery.publish(
             Entry(
                 host=listed.name,
                 dial=listed.dial,
@@ -207,14 +207,14 @@
 
     async def kill_engine(self, place: str) -> None:
         """Kill an engine: its requests are lost, and new connections are refused."""
-        await self.engines[place].die()
+        await self.engines[place].stop()
         self.network.set_reachable(place, False)
 
     async def restart_engine(self, place: str, cold: bool = True) -> None:
         """Restart the same engine at the same address; discovery shows it only by a new start time."""
         await self.engines[place].start(cold=cold)
         self.network.set_reachable(place, True)
-        await self.tell(place, born_ms=int(time.time() * 1000) if cold else 0)
+        await self.publish(place, born_ms=int(time.time() * 1000) if cold else 0)
 
     async def replace_engine(self, place: str) -> None:
         """Start a cold replacement engine in that place, at a new address."""
@@ -222,7 +222,7 @@
         await replacement.start(cold=True)
         for name in self.sidecars:
             await self._connect_engine(name, place)
-        await self.tell(place, born_ms=int(time.time() * 1000))
+        await self.publish(place, born_ms=int(time.time() * 1000))
 
     # ---- configuration
 
@@ -313,12 +313,12 @@
             sidecar.close()
         for running in self.engines.values():
             with contextlib.suppress(RigError):
-                await running.die()
+                await running.stop()
         with contextlib.suppress(RigError):
             if isinstance(self.discovery, RemoteDiscovery):
                 await self.discovery.remote.kill()
             else:
-                await self.discovery.die()
+                await self.discovery.stop()
         for control in self.controls.values():
             control.close()
         self.network.close()
--- a/sprucenotch/testbed/fake_server_proxy.py
+++ b/sprucenotch/testbed/fake_server_proxy.py
@@ -83,7 +83,7 @@
 
 
 class RemoteEngine:
-    """An `Engine` in a separate process; `die` kills that process."""
+    """An `Engine` in a separate process; `stop` kills that process."""
 
     def __init__(self, spec: EngineSpec, on_event: Callable[[Ran], None]) -> None:
         self.name, self.zone, self.dial, self.life = spec.name, spec.zone, "", 0
@@ -122,7 +122,7 @@
         self.dial = await self.remote.call("start", cold=cold)
         self.up, self.draining = True, False
 
-    async def die(self) -> None:
+    async def stop(self) -> None:
         if self.up:
             self.up = False
             await self.remote.kill()
@@ -152,14 +152,14 @@
             await self.remote.call("start")
             self.up = True
 
-    async def die(self) -> None:
+    async def stop(self) -> None:
         """Stop serving; the process and its list stay."""
         if self.up:
             self.up = False
-            await self.remote.call("die")
+            await self.remote.call("stop")
 
-    async def face(self, sidecar: str) -> str:
-        return str(await self.remote.call("face", sidecar=sidecar))
+    async def add_listener(self, sidecar: str) -> str:
+        return str(await self.remote.call("add_listener", sidecar=sidecar))
 
     async def dials(self, sidecar: str, dials: dict[str, str]) -> None:
         await self.remote.call("dials", sidecar=sidecar, dials=dials)
@@ -170,8 +170,8 @@
     async def behind(self, seconds: float) -> None:
         await self.remote.call("behind", seconds=seconds)
 
-    async def tell(self, entry: Entry) -> None:
-        await self.remote.call("tell", entry=entry)
+    async def publish(self, entry: Entry) -> None:
+        await self.remote.call("publish", entry=entry)
 
     async def whole(self, sidecar: str = "") -> dict[str, object]:
         whole: dict[str, object] = await self.remote.call("whole", sidecar=sidecar)
--- a/sprucenotch/testbed/injection.py
+++ b/sprucenotch/testbed/injection.py
@@ -142,7 +142,7 @@
         if fault.late:
             await discovery.late(fault.late / SECOND)
             return ActiveFault(("discovery",), (), lambda: discovery.late(0.0))
-        await discovery.die()
+        await discovery.stop()
         return ActiveFault(("discovery",), ("discovery",), discovery.start)
 
     def _surge(self, number: int, fault: faults.Surge) -> ActiveFault:
@@ -347,14 +347,14 @@
         await asyncio.sleep(down)
         await environment.restart_engine(name)
     else:
-        await environment.discovery.die()
+        await environment.discovery.stop()
         await asyncio.sleep(down)
         await environment.discovery.start()
 
 
 async def _replace(environment: Environment, fault: faults.Replace, place: str) -> None:
-    await environment.tell(place, "draining")
+    await environment.publish(place, "draining")
     await asyncio.sleep(fault.notice / SECOND)
-    await environment.tell(place, "removed")
+    await environment.publish(place, "removed")
     await environment.kill_engine(place)
     await environment.replace_engine(place)
--- a/tests/test_simulated_servers.py
+++ b/tests/test_simulated_servers.py
@@ -38,7 +38,7 @@
         send(engine, answers)
         send(engine, answers)
         engine.up = True
-        await engine.die()
+        await engine.stop()
         send(engine, answers)
         while engine.held:
             await asyncio.sleep(0)
@@ -60,11 +60,11 @@
 def test_watch_waits_for_a_change_and_unknown_version_gets_the_full_list() -> None:
     async def test() -> None:
         discovery = Discovery()
-        await discovery.tell(entry("engine-0"))
+        await discovery.publish(entry("engine-0"))
         waiting = watch(discovery, b"from=1&hold_ms=9000")
         await asyncio.sleep(0)
         assert not waiting.done()
-        await discovery.tell(entry("engine-1"))
+        await discovery.publish(entry("engine-1"))
         body = json.loads((await waiting).partition(b"\r\n\r\n")[2])
         assert (body["seq"], body["whole"], [h["host"] for h in body["hosts"]]) == (2, False, ["engine-1"])
         body = json.loads((await watch(discovery, b"from=77&hold_ms=9000")).partition(b"\r\n\r\n")[2])
@@ -77,8 +77,8 @@
     async def test() -> None:
         discovery = Discovery()
         for number in range(3):
-            await discovery.tell(entry(f"engine-{number}"))
-        await discovery.tell(Entry(**entry("engine-0") | {"health": "removed"}))
+            await discovery.publish(entry(f"engine-{number}"))
+        await discovery.publish(Entry(**entry("engine-0") | {"health": "removed"}))
         now = discovery._now()
         discovery._changed_at = [now - 10, now - 10, now, now]
         await discovery.behind(5.0)
@@ -91,7 +91,7 @@
         await discovery.behind(0.0)
         assert parse_list(await waiting) == (4, False, ["engine-2", "engine-0"])
         assert (await answer(discovery, b"")) == (4, True, ["engine-1", "engine-2"])
-        await discovery.die()
+        await discovery.stop()
 
     run(test())
 
