--- a/sprucenotch/cli/hunt.py
+++ b/sprucenotch/cli/hunt.py
@@ -17,7 +17,7 @@
 from sprucenotch.testbed.sweep import Failed, Job
 
 MIN_LENGTH, MAX_LENGTH = 8.0, 600.0  # seconds of a run
-MAX_TIME_LINES = 25  # of the time line of a find that are printed
+MAX_TIME_LINES = 25  # of a time line that are printed
 
 
 def hunt(
@@ -53,8 +53,8 @@
         exit_with(problem)
     rows = hunt_campaign.rows(wanted)
     found = campaign.broken_rules(rows, failed)
-    for find in found:
-        print(format_find(find, lasts, command, folder))
+    for broken in found:
+        print(format_broken_rule(broken, lasts, command, folder))
     crashes = [failure for failure in failed if failure.crashed]
     for crash in crashes:
         print(f"CRASHED, proves nothing: seed {crash.job.seed}: {crash.error}")
@@ -63,8 +63,8 @@
     if interrupted:
         fail(Exit.INTERRUPTED, f"interrupted; finished runs are in {store}, and the same command continues")
     if smaller:
-        for find in {find.rule: find for find in reversed(found)}.values():
-            _minimise(hunt_campaign, find, again, folder)
+        for broken in {broken.rule: broken for broken in reversed(found)}.values():
+            _minimise(hunt_campaign, broken, again, folder)
     raise typer.Exit(Exit.NO if found else Exit.LATE if crashes else Exit.FINE)
 
 
@@ -78,13 +78,13 @@
         return uvloop.run(hunt_campaign.play(wanted, each))
 
 
-def format_find(find: BrokenRule, lasts: str, command: str, folder: Path) -> str:
-    """Format a find: rule, request, time line over all processes, and the command that repeats it."""
+def format_broken_rule(broken: BrokenRule, lasts: str, command: str, folder: Path) -> str:
+    """Format a broken rule: request, time line over all processes, and the command that repeats it."""
     started = f' --command "{command}"' if command else ""
-    lines = [f"BROKEN {find.rule}, seed {find.seed}, {find.times} times: {find.first.said}"]
-    lines += [f"    {line}" for line in find.first.time_line[:MAX_TIME_LINES]]
-    lines.append(f"  schedule: {folder}/hunt-{find.seed}.toml; repeat with: sprucenotch rig hunt "
-                 f"--seeds {find.seed} --for {lasts}{started}")  # fmt: skip
+    lines = [f"BROKEN {broken.rule}, seed {broken.seed}, {broken.times} times: {broken.first.said}"]
+    lines += [f"    {line}" for line in broken.first.time_line[:MAX_TIME_LINES]]
+    lines.append(f"  schedule: {folder}/hunt-{broken.seed}.toml; repeat with: sprucenotch rig hunt "
+                 f"--seeds {broken.seed} --for {lasts}{started}")  # fmt: skip
     return "\n".join(lines)
 
 
@@ -106,19 +106,19 @@
     return "\n".join(lines)
 
 
-def _minimise(hunt_campaign: Campaign, find: BrokenRule, again: int, folder: Path) -> None:
+def _minimise(hunt_campaign: Campaign, broken: BrokenRule, again: int, folder: Path) -> None:
     try:
-        shrunk = uvloop.run(hunt_campaign.shrink(find.seed, find.rule))
-        hits = uvloop.run(hunt_campaign.rate(shrunk.schedule, find.rule, again))
+        shrunk = uvloop.run(hunt_campaign.shrink(broken.seed, broken.rule))
+        hits = uvloop.run(hunt_campaign.rate(shrunk.schedule, broken.rule, again))
     except KeyboardInterrupt:
         fail(Exit.INTERRUPTED, "interrupted while a schedule was minimised")
-    name = f"smaller-{find.seed}-{find.rule.replace(' ', '-')}"
+    name = f"smaller-{broken.seed}-{broken.rule.replace(' ', '-')}"
     path = folder / f"{name}.toml"
     path.write_text(shrunk.schedule.text())
     fleet = shrunk.schedule.fleet
     print(
-        f"minimised, {find.rule}, seed {find.seed}: {len(shrunk.schedule.steps)} faults, "
+        f"minimised, {broken.rule}, seed {broken.seed}: {len(shrunk.schedule.steps)} faults, "
         f"{fleet['sidecars']} "
         f"sidecars, {shrunk.schedule.length:g} s, after {shrunk.plays} runs; broken in {hits} of {again}: "
-        f"sprucenotch rig run {path} --seed {find.seed}"
+        f"sprucenotch rig run {path} --seed {broken.seed}"
     )
--- a/sprucenotch/testbed/hunt/campaign.py
+++ b/sprucenotch/testbed/hunt/campaign.py
@@ -18,7 +18,7 @@
 from sprucenotch.testbed.sweep import Failed, Job
 
 ENDED_EARLY = "ended or did not start"  # the rule broken by a run that cannot continue
-CRASHED = "the testbed crashed"  # not a find, as the program is not at fault
+CRASHED = "the testbed crashed"  # breaks no rule, as the program is not at fault
 MAX_EXCUSED = 0.2  # share of excused cases above which a rule counts as insufficiently checked
 
 
@@ -145,7 +145,7 @@
         found += [BrokenRule(row.result.seed, rule, all_[0], len(all_)) for rule, all_ in by_rule.items()]
     for one in (one for one in failed if not one.crashed):
         found.append(BrokenRule(one.job.seed, ENDED_EARLY, Finding(ENDED_EARLY, "", 0.0, one.error), 1))
-    return sorted(found, key=lambda find: find.seed)
+    return sorted(found, key=lambda broken: broken.seed)
 
 
 def total(rows: Sequence[Row], failed: Sequence[Failed] = ()) -> Totals:
--- a/sprucenotch/testbed/plan.py
+++ b/sprucenotch/testbed/plan.py
@@ -145,7 +145,7 @@
     classes: tuple[Class, ...]
     steps: tuple[Step, ...] = ()
     nemesis: Nemesis | None = None
-    nemesis_faults: tuple[Fault, ...] = ()  # by the nemesis
+    nemesis_faults: tuple[Fault, ...] = ()  # that the nemesis draws from
     source: str = ""  # the file's text
 
     @property
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -99,7 +99,7 @@
     assert added.judged == {"lost": 200} and added.faults == {"cut": 4}
     assert added.undertested_rules() == ["recovery"]
     found = campaign.broken_rules(rows, [Failed(Job("p", "s", 4), 5, "sidecar-1 ended with code 1")])
-    assert [(find.seed, find.rule, find.times) for find in found] == [
+    assert [(broken.seed, broken.rule, broken.times) for broken in found] == [
         (2, "lost", 2),
         (4, campaign.ENDED_EARLY, 1),
     ]
@@ -108,7 +108,7 @@
 def test_campaign_crash_of_the_testbed_is_counted_but_is_not_a_find() -> None:
     crash = Failed(Job("p", "s", 4), 1, "msgspec.DecodeError: Input data was truncated", crashed=True)
     dead = Failed(Job("p", "s", 5), 5, "sidecar-1 ended with code 1")
-    assert [(find.seed, find.rule) for find in campaign.broken_rules([], [crash, dead])] == [
+    assert [(broken.seed, broken.rule) for broken in campaign.broken_rules([], [crash, dead])] == [
         (5, campaign.ENDED_EARLY)
     ]
     added = campaign.total([], [crash, dead, crash])
