--- a/sprucenotch/rig/capacity.py
+++ b/sprucenotch/testbed/capacity.py
@@ -11,9 +11,9 @@
 from typing import NamedTuple
 
 from sprucenotch.node.config import MIN_MEMORY_MB
-from sprucenotch.rig.faults import Restart
-from sprucenotch.rig.plan import Plan, chosen
-from sprucenotch.rig.process import RigError
+from sprucenotch.testbed.faults import Restart
+from sprucenotch.testbed.plan import Plan, matching_processes
+from sprucenotch.testbed.process import RigError
 
 MEGABYTE = 1_000_000
 # Of the available memory. The rest is for the testbed itself, which holds the history of all requests, and
@@ -56,7 +56,7 @@
 def successors(plan: Plan) -> int:
     """The number of sidecars that may have two processes at a time."""
     upgrades = [fault for fault in plan.faults if isinstance(fault, Restart) and fault.how == "upgrade"]
-    upgraded = {name for fault in upgrades for name in chosen(fault.on, plan.fleet)}
+    upgraded = {name for fault in upgrades for name in matching_processes(fault.on, plan.fleet)}
     return sum(name.startswith("sidecar") for name in upgraded)
 
 
--- a/sprucenotch/rig/compare.py
+++ b/sprucenotch/testbed/compare.py
@@ -8,8 +8,8 @@
 import numpy as np
 from scipy import stats  # type: ignore[import-untyped]
 
-from sprucenotch.rig.process import RigError
-from sprucenotch.rig.store import Row
+from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.run_store import Row
 
 CONFIDENCE = 0.95
 RESAMPLES = 10_000
@@ -24,7 +24,7 @@
     high: float
 
     @property
-    def shown(self) -> bool:
+    def significant(self) -> bool:
         """Whether the difference is significant: the interval does not contain 0."""
         return self.low > 0 or self.high < 0
 
--- a/sprucenotch/rig/discovery.py
+++ b/sprucenotch/testbed/discovery.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from sprucenotch.rig.http import Request, Respond, Server, response
-from sprucenotch.rig.truth.history import Listed, Told
+from sprucenotch.testbed.checker.history import Listed, Told
+from sprucenotch.testbed.http import Request, Respond, Server, response
 
 MAX_HOLD = 60.0  # seconds that a watch may wait
 MAX_CHANGES = 1000  # kept; a watch from an older version gets the full list
@@ -34,7 +34,7 @@
     """One service with a listener for each sidecar, since the addresses of engines may differ by sidecar."""
 
     def __init__(
-        self, witness: Callable[[Listed | Told], None] = lambda event: None, origin: float = 0.0
+        self, on_event: Callable[[Listed | Told], None] = lambda event: None, origin: float = 0.0
     ) -> None:
         self._base: dict[str, Entry] = {}  # the list at the version `_base_version`
         self._changes: list[Entry] = []  # change number n made version n + 1
@@ -43,7 +43,7 @@
         self._replica: int | None = None  # the version of the stale replica that answers, if any
         self._changed = asyncio.Event()
         self._watches: set[asyncio.Task[None]] = set()
-        self._witness, self._origin = witness, origin
+        self._on_event, self._origin = on_event, origin
         self._delay = 0.0  # seconds by which answers are delayed
         self._dials: dict[str, dict[str, str]] = {}  # by sidecar: engines that it reaches elsewhere
         self.server = Server(lambda request, respond: self._handle("", request, respond))
@@ -69,7 +69,7 @@
             await listener.start()
         self.up = True
 
-    async def die(self) -> None:
+    async def stop(self) -> None:
         """Stop serving: watches end and calls are refused; the list is kept."""
         self.up = False
         for task in self._watches:
@@ -77,7 +77,7 @@
         for listener in self._listeners.values():
             listener.stop()
 
-    async def face(self, sidecar: str) -> str:
+    async def add_listener(self, sidecar: str) -> str:
         """Open a listener for that sidecar and return its address."""
         listener = Server(lambda request, respond: self._handle(sidecar, request, respond))
         await listener.start()
@@ -103,10 +103,10 @@
             return
         cutoff = self._now() - seconds
         self._replica = self._base_version + sum(at <= cutoff for at in self._changed_at)
-        await self.die()
+        await self.stop()
         await self.start()
 
-    async def tell(self, entry: Entry) -> None:
+    async def publish(self, entry: Entry) -> None:
         """Add or update an entry; with health `removed`, delete it."""
         self._changes.append(entry)
         self._changed_at.append(self._now())
@@ -114,7 +114,7 @@
             self._base_version += 1
             _apply(self._base, self._changes.pop(0))
             del self._changed_at[0]
-        self._witness(
+        self._on_event(
             Listed(at=self._now(), engine=entry["host"], health=entry["health"], version=self.version)
         )
         self._wake_watches()
@@ -166,7 +166,7 @@
             await asyncio.sleep(self._delay)
         update = self._since(sidecar, version)
         if respond(response(200, msgspec.json.encode(update))) is not False:
-            self._witness(Told(at=self._now(), sidecar=sidecar, version=self.shown))
+            self._on_event(Told(at=self._now(), sidecar=sidecar, version=self.shown))
 
 
 def _apply(hosts: dict[str, Entry], change: Entry) -> None:
--- a/sprucenotch/rig/engine.py
+++ b/sprucenotch/testbed/engine.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from sprucenotch.rig.http import Request, Respond, Server, response
-from sprucenotch.rig.truth.history import Ran, Step
+from sprucenotch.testbed.checker.history import Ran, Step
+from sprucenotch.testbed.http import Request, Respond, Server, response
 
 SECOND_ANSWER_DELAY = 0.003  # seconds
 DECLINED = response(503, b"", b"Srv-Declined: 1")
@@ -54,7 +54,7 @@
         queue: int,
         seed: int,
         cold: WarmUp = WarmUp(),  # noqa: B008 - immutable
-        witness: Callable[[Ran], None] = lambda ran: None,
+        on_event: Callable[[Ran], None] = lambda ran: None,
         origin: float = 0.0,
     ) -> None:
         self.name, self.zone = name, zone
@@ -63,13 +63,13 @@
         self._waiting: deque[tuple[Request, Respond]] = deque()
         self._running: dict[int, Request] = {}  # by sequence number
         self._number = 0
-        self._witness, self._origin = witness, origin
+        self._on_event, self._origin = on_event, origin
         self.up = False
         self.slower = 1.0
         self.failing = self.draining = self.silent = False
         self.twice = self.nonsense = self.endless = False
         self.served = self.declined = 0
-        self.life = 0  # incremented by die(); work started in an earlier life is discarded
+        self.life = 0  # incremented by stop(); work started in an earlier life is discarded
         self._warm_at = 0.0
         self.server = Server(self._handle)
 
@@ -92,7 +92,7 @@
         self._warm_at = time.monotonic() + (self._cold.seconds if cold else 0.0)
         self.up, self.draining = True, False
 
-    async def die(self) -> None:
+    async def stop(self) -> None:
         """Stop serving; requests in progress and their connections are lost."""
         if not self.up:
             return
@@ -127,7 +127,7 @@
         id, key = (request.headers.get(name, b"").decode() for name in (b"req-id", b"idempotency-key"))
         at = time.monotonic() - self._origin
         deadline = request.headers.get(b"req-deadline", b"").decode() if step == "taken" else ""
-        self._witness(
+        self._on_event(
             Ran(
                 at=at,
                 engine=self.name,
--- a/sprucenotch/rig/standin.py
+++ b/sprucenotch/testbed/fake_server.py
@@ -1,7 +1,7 @@
-"""`python -m sprucenotch.rig.standin`: runs a simulated engine or discovery in a separate process.
+"""`python -m sprucenotch.testbed.fake_server`: runs a simulated engine or discovery in a separate process.
 
 It reads commands from standard input, one JSON line each, and writes events and replies to standard output.
-It exits at the end of its input. The testbed's side of this protocol is `remote.py`.
+It exits at the end of its input. The testbed's side of this protocol is `fake_server_proxy.py`.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 import uvloop
 from msgspec import Struct
 
-from sprucenotch.rig.discovery import Discovery
-from sprucenotch.rig.engine import Engine, WarmUp, Work
-from sprucenotch.rig.truth.history import Event, Ran
+from sprucenotch.testbed.checker.history import Event, Ran
+from sprucenotch.testbed.discovery import Discovery
+from sprucenotch.testbed.engine import Engine, WarmUp, Work
 
 MAX_LINE = 1 << 24  # bytes
 
@@ -61,11 +61,11 @@
         raw = raw[os.write(1, raw) :]
 
 
-def engine(spec: EngineSpec, witness: Callable[[Ran], None]) -> Engine:
+def engine(spec: EngineSpec, on_event: Callable[[Ran], None]) -> Engine:
     """Create an engine from its parameters."""
     created = Engine(
         spec.name, spec.zone, {name.encode(): work for name, work in spec.work.items()}, spec.slots,
-        spec.queue, spec.seed, spec.cold, witness, spec.origin,
+        spec.queue, spec.seed, spec.cold, on_event, spec.origin,
     )  # fmt: skip
     created.server.dial, created.life = spec.dial, spec.life
     return created
--- a/sprucenotch/rig/remote.py
+++ b/sprucenotch/testbed/fake_server_proxy.py
@@ -10,20 +10,20 @@
 
 import msgspec
 
-from sprucenotch.rig.discovery import Entry
-from sprucenotch.rig.engine import Engine
-from sprucenotch.rig.process import ChildProcess, ProcessError
-from sprucenotch.rig.standin import MAX_LINE, Command, EngineSpec, Reply
-from sprucenotch.rig.truth.history import Event, Ran
+from sprucenotch.testbed.checker.history import Event, Ran
+from sprucenotch.testbed.discovery import Entry
+from sprucenotch.testbed.engine import Engine
+from sprucenotch.testbed.fake_server import MAX_LINE, Command, EngineSpec, Reply
+from sprucenotch.testbed.process import ChildProcess, ProcessError
 
 REPLY_TIMEOUT = 10.0  # seconds: a paused process replies when it is resumed
 
 
 class RemoteProcess:
-    """A fake server process and the commands to it. Its events go to `witness`."""
+    """A fake server process and the commands to it. Its events go to `on_event`."""
 
-    def __init__(self, name: str, first: str, witness: Callable[[Any], None]) -> None:
-        self.name, self._first, self._witness = name, first, witness
+    def __init__(self, name: str, first: str, on_event: Callable[[Any], None]) -> None:
+        self.name, self._first, self._on_event = name, first, on_event
         self.child: ChildProcess | None = None
         self._last_number = 0
         self._replies: dict[int, asyncio.Future[Any]] = {}
@@ -31,7 +31,7 @@
 
     async def spawn(self, first: str) -> None:
         self._first = first
-        command = (sys.executable, "-m", "sprucenotch.rig.standin", first)
+        command = (sys.executable, "-m", "sprucenotch.testbed.fake_server", first)
         # Every sidecar holds connections to it, and discovery has a listener for each sidecar.
         self.child = ChildProcess(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, descriptors=None)
         stream = asyncio.StreamReader(limit=MAX_LINE)
@@ -42,7 +42,7 @@
     async def _read(self, stream: asyncio.StreamReader) -> None:
         while line := await stream.readline():
             if line.startswith(b'{"type"'):
-                self._witness(msgspec.json.decode(line, type=Event))
+                self._on_event(msgspec.json.decode(line, type=Event))
             elif line.endswith(b"\n"):  # otherwise it was killed while it wrote
                 reply = msgspec.json.decode(line, type=Reply)
                 waiting = self._replies.pop(reply.number, None)
@@ -83,11 +83,11 @@
 
 
 class RemoteEngine:
-    """An `Engine` in a separate process; `die` kills that process."""
+    """An `Engine` in a separate process; `stop` kills that process."""
 
-    def __init__(self, spec: EngineSpec, witness: Callable[[Ran], None]) -> None:
+    def __init__(self, spec: EngineSpec, on_event: Callable[[Ran], None]) -> None:
         self.name, self.zone, self.dial, self.life = spec.name, spec.zone, "", 0
-        self._spec, self._witness = spec, witness
+        self._spec, self._on_event = spec, on_event
         self.remote = RemoteProcess(spec.name, "", self._observe)
         self._in_progress: set[str] = set()
         self.up = self.draining = self.failing = self.silent = False
@@ -102,7 +102,7 @@
             self._in_progress.discard(ran.id)
         self.served += ran.step == "done"
         self.declined += ran.step == "declined"
-        self._witness(ran)
+        self._on_event(ran)
 
     @property
     def busy(self) -> int:
@@ -122,7 +122,7 @@
         self.dial = await self.remote.call("start", cold=cold)
         self.up, self.draining = True, False
 
-    async def die(self) -> None:
+    async def stop(self) -> None:
         if self.up:
             self.up = False
             await self.remote.kill()
@@ -140,8 +140,8 @@
 class RemoteDiscovery:
     """A `Discovery` in a separate process."""
 
-    def __init__(self, witness: Callable[[Event], None], origin: float) -> None:
-        self.remote = RemoteProcess("discovery", "", witness)
+    def __init__(self, on_event: Callable[[Event], None], origin: float) -> None:
+        self.remote = RemoteProcess("discovery", "", on_event)
         self._origin = origin
         self.up = False
 
@@ -152,14 +152,14 @@
             await self.remote.call("start")
             self.up = True
 
-    async def die(self) -> None:
+    async def stop(self) -> None:
         """Stop serving; the process and its list stay."""
         if self.up:
             self.up = False
-            await self.remote.call("die")
+            await self.remote.call("stop")
 
-    async def face(self, sidecar: str) -> str:
-        return str(await self.remote.call("face", sidecar=sidecar))
+    async def add_listener(self, sidecar: str) -> str:
+        return str(await self.remote.call("add_listener", sidecar=sidecar))
 
     async def dials(self, sidecar: str, dials: dict[str, str]) -> None:
         await self.remote.call("dials", sidecar=sidecar, dials=dials)
@@ -170,8 +170,8 @@
     async def behind(self, seconds: float) -> None:
         await self.remote.call("behind", seconds=seconds)
 
-    async def tell(self, entry: Entry) -> None:
-        await self.remote.call("tell", entry=entry)
+    async def publish(self, entry: Entry) -> None:
+        await self.remote.call("publish", entry=entry)
 
     async def whole(self, sidecar: str = "") -> dict[str, object]:
         whole: dict[str, object] = await self.remote.call("whole", sidecar=sidecar)
--- a/sprucenotch/rig/faults.py
+++ b/sprucenotch/testbed/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a plan can contain. `actions.py` injects them.
+"""The faults that a plan can contain. `injection.py` injects them.
 
 `on` is a pattern of process names: `sidecar-0`, `sidecar-*`, `engine-[0-2]`, `engine-*@south` for a zone,
 `discovery`. `share` selects a random part of them, determined by the seed. Links go from `source` to
@@ -111,7 +111,7 @@
     broken: bool = False  # truncate the configuration file before each reload
 
 
-class RoughClients(OnProcesses, frozen=True, kw_only=True, tag="clients"):
+class MisbehavingClients(OnProcesses, frozen=True, kw_only=True, tag="clients"):
     """Clients that write slowly, leave before the answer, stop writing within a request, keep idle
     connections, or send several requests at once."""
 
@@ -193,7 +193,7 @@
     str(kind.__struct_config__.tag): kind
     for kind in (
         Restart, Pause, SlowCpu, Retune, WrongClock, Cut, Delay, Rate, Reset, HalfOpen, Datagrams, Engines,
-        Replace, Discovery, Surge, SystemCalls, ClockStep, Reload, RoughClients,
+        Replace, Discovery, Surge, SystemCalls, ClockStep, Reload, MisbehavingClients,
     )
 }  # fmt: skip
 SELF_ENDING = (Restart, Replace, Reload)  # have no duration in a plan
--- a/sprucenotch/rig/cuts.py
+++ b/sprucenotch/testbed/power_cuts.py
@@ -1,6 +1,6 @@
 """Power cuts at every operation of a store's workload: checks that recovery meets the durability guarantees.
 
-    python -m sprucenotch.rig.cuts [SEEDS]
+    python -m sprucenotch.testbed.power_cuts [SEEDS]
 
 Appends, syncs and compactions run on a model of a disk that loses power after the n-th operation, for every
 n, with one outcome of each cut per seed; then the first start after the cut loses power too. The next start
@@ -15,13 +15,13 @@
 from typing import NamedTuple
 
 from sprucenotch.platform.disk import File
-from sprucenotch.rig.volume import Volume
 from sprucenotch.store import frame
 from sprucenotch.store.reader import Owner, Schema
 from sprucenotch.store.store import Mode, open_store
+from sprucenotch.testbed.simulated_disk import SimulatedDisk
 
 MODES: tuple[Mode, ...] = ("none", "interval", "always")
-FORGOTTEN = ("sync", "sync names", "checksum")
+SKIPPED_STEPS = ("sync", "sync names", "checksum")
 OWNER, SCHEMA, NOW = Owner("cuts", "one"), Schema(1, bytes), 10**18
 APPENDS = 14
 KILLED_BEFORE = (7, 11)  # appends before which the process is killed and another one continues
@@ -35,43 +35,43 @@
 class PowerCutDisk:
     """A disk that loses power after a number of operations, and may skip one kind of them."""
 
-    def __init__(self, volume: Volume, operations: int, forgotten: str = "") -> None:
-        self._volume, self._left, self._forgotten = volume, operations, forgotten
+    def __init__(self, disk: SimulatedDisk, operations: int, skipped: str = "") -> None:
+        self._disk, self._left, self._skipped = disk, operations, skipped
 
     def take_operation(self, operation: str) -> bool:
         """Count an operation; return whether to perform it. Raises PowerCut when none is left."""
         if self._left <= 0:
             raise PowerCut
         self._left -= 1
-        return operation != self._forgotten
+        return operation != self._skipped
 
     def names(self) -> list[str]:
-        return self._volume.names()
+        return self._disk.names()
 
     def read(self, name: str) -> bytes:
-        return self._volume.read(name)
+        return self._disk.read(name)
 
     def open(self, name: str, truncate: bool = False) -> File:
         self.take_operation("open")
-        return _PowerCutFile(self, self._volume.open(name, truncate))
+        return _PowerCutFile(self, self._disk.open(name, truncate))
 
     def rename(self, old: str, new: str) -> None:
         self.take_operation("rename")
-        self._volume.rename(old, new)
+        self._disk.rename(old, new)
 
     def remove(self, name: str) -> None:
         self.take_operation("remove")
-        self._volume.remove(name)
+        self._disk.remove(name)
 
     def lock(self, name: str) -> None:
-        self._volume.lock(name)
+        self._disk.lock(name)
 
     def unlock(self) -> None:
-        self._volume.unlock()
+        self._disk.unlock()
 
     def sync_directory(self) -> None:
         if self.take_operation("sync names"):
-            self._volume.sync_directory()
+            self._disk.sync_directory()
 
 
 class _PowerCutFile:
@@ -135,31 +135,31 @@
     broken: list[str]  # a line each, with mode, cut and seed
 
 
-def explore(mode: Mode, seeds: Iterable[int], forgotten: str = "") -> Explored:
+def explore_power_cuts(mode: Mode, seeds: Iterable[int], skipped: str = "") -> Explored:
     """Cut power at each operation of the workload and in the start after it, with these seeds."""
     cases, broken, seeds = 0, list[str](), tuple(seeds)
-    with _without_checksums() if forgotten == "checksum" else contextlib.nullcontext():
+    with _without_checksums() if skipped == "checksum" else contextlib.nullcontext():
         for at in range(10_000):
             finished = False
             for seed in seeds:
-                progress, volume = Progress(), Volume()
+                progress, disk = Progress(), SimulatedDisk()
                 with contextlib.suppress(PowerCut):
-                    run_workload(PowerCutDisk(volume, at, forgotten), mode, progress)
-                volume.crash(seed)
+                    run_workload(PowerCutDisk(disk, at, skipped), mode, progress)
+                disk.crash(seed)
                 with contextlib.suppress(PowerCut):  # the first start loses power as well
-                    open_store(PowerCutDisk(volume, seed % 13, forgotten), OWNER, SCHEMA, NOW, mode)
-                volume.crash(seed + 1)
+                    open_store(PowerCutDisk(disk, seed % 13, skipped), OWNER, SCHEMA, NOW, mode)
+                disk.crash(seed + 1)
                 cases += 1
                 finished |= progress.finished
-                if (wrong := _violation(volume, progress)) is not None:
+                if (wrong := _violation(disk, progress)) is not None:
                     broken.append(f"{mode}, cut after {at}, seed {seed}: {wrong}")
             if finished:
                 return Explored(cases, broken)
     raise AssertionError("the workload does not end")
 
 
-def _violation(volume: Volume, progress: Progress) -> str | None:
-    opened = open_store(volume, OWNER, SCHEMA, NOW)
+def _violation(disk: SimulatedDisk, progress: Progress) -> str | None:
+    opened = open_store(disk, OWNER, SCHEMA, NOW)
     recovered = list(opened.found.records)
     if opened.problem:
         return f"the store cannot be opened: {opened.problem}"
@@ -184,12 +184,12 @@
     seeds = range(int(sys.argv[1]) if len(sys.argv) > 1 else 100)
     wrong = 0
     for mode in MODES:
-        found = explore(mode, seeds)
+        found = explore_power_cuts(mode, seeds)
         wrong += len(found.broken)
         print(f"{mode}: {found.cases} cases, {len(found.broken)} broken", *found.broken[:5], sep="\n  ")
-    for forgotten in FORGOTTEN:
-        found = explore("always", seeds, forgotten)
-        print(f"without {forgotten}: {len(found.broken)} of {found.cases} cases are detected as broken")
+    for skipped in SKIPPED_STEPS:
+        found = explore_power_cuts("always", seeds, skipped)
+        print(f"without {skipped}: {len(found.broken)} of {found.cases} cases are detected as broken")
         wrong += not found.broken
     return int(wrong > 0)
 
--- a/sprucenotch/rig/volume.py
+++ b/sprucenotch/testbed/simulated_disk.py
@@ -5,8 +5,8 @@
 directory changes, in their order. `crash` draws one of these outcomes by seed. After a sync that fails, the
 data that it should have written stays in doubt, as on Linux: later syncs do not write it.
 
-Operations of a real process are recorded by `platform/recording_disk.py` in a file, and `replay` builds from
-it the volume whose `crash` gives what a power cut at that moment would have left.
+Operations of a real process are recorded by `platform/recording_disk.py` in a file, and `replay` builds
+from it the disk whose `crash` gives what a power cut at that moment would have left.
 """
 
 from __future__ import annotations
@@ -102,8 +102,8 @@
     removed: tuple[str, ...] = ()
 
 
-class Volume:
-    """A folder in memory. Its faults (`room`, `slow`, `failing`) may be set at any time."""
+class SimulatedDisk:
+    """A folder in memory. Its faults (`free_bytes`, `slow`, `failing`) may be set at any time."""
 
     def __init__(self, sleep: Callable[[float], None] = time.sleep) -> None:
         self._names: dict[str, Inode] = {}
@@ -111,7 +111,7 @@
         self._pending: list[DirectoryChange] = []
         self._locked: set[str] = set()
         self._sleep = sleep
-        self.room: int | None = None  # free bytes; None for no limit
+        self.free_bytes: int | None = None  # None for no limit
         self.slow = 0.0  # seconds that each operation takes
         self.failing: set[str] = (
             set()
@@ -189,7 +189,7 @@
         self._names = dict(self._durable)
         self._pending.clear()
         self._locked.clear()
-        self.room, self.slow = None, 0.0
+        self.free_bytes, self.slow = None, 0.0
         self.failing.clear()
 
     def write_to(self, folder: Path) -> None:
@@ -205,46 +205,46 @@
 
 
 class OpenFile:
-    def __init__(self, volume: Volume, inode: Inode) -> None:
-        self._volume, self._inode = volume, inode
+    def __init__(self, disk: SimulatedDisk, inode: Inode) -> None:
+        self._disk, self._inode = disk, inode
 
     def write(self, data: bytes) -> None:
-        self._volume._begin("write")
-        room = self._volume.room
-        if room is not None:
-            self._volume.room = max(0, room - len(data))
-            if len(data) > room:
-                if room:
-                    self._inode.write(data[:room])
+        self._disk._begin("write")
+        free_bytes = self._disk.free_bytes
+        if free_bytes is not None:
+            self._disk.free_bytes = max(0, free_bytes - len(data))
+            if len(data) > free_bytes:
+                if free_bytes:
+                    self._inode.write(data[:free_bytes])
                 raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         if data:
             self._inode.write(data)
 
     def sync(self) -> None:
         try:
-            self._volume._begin("sync")
+            self._disk._begin("sync")
         except OSError:
             self._inode.fail_sync()
             raise
         self._inode.sync()
 
     def truncate(self, size: int) -> None:
-        self._volume._begin("write")
+        self._disk._begin("write")
         self._inode.truncate(size)
 
     def close(self) -> None:
         """Does not sync."""
 
 
-def replay(record: bytes, base: Mapping[str, bytes] = MappingProxyType({})) -> Volume:
-    """Build the volume after all operations of a record, starting from the synced files `base`. An incomplete
+def replay(record: bytes, base: Mapping[str, bytes] = MappingProxyType({})) -> SimulatedDisk:
+    """Build the disk after all operations of a record, starting from the synced files `base`. An incomplete
     operation at the end of the record is ignored."""
-    volume, files, at = Volume(), dict[str, OpenFile](), 0
+    disk, files, at = SimulatedDisk(), dict[str, OpenFile](), 0
     for name, data in base.items():
-        file = volume.open(name)
+        file = disk.open(name)
         file.write(data)
         file.sync()
-    volume.sync_directory()
+    disk.sync_directory()
     while at + 4 <= len(record):
         end = at + 4 + int.from_bytes(record[at : at + 4], "big")
         if end > len(record):
@@ -253,7 +253,7 @@
         at = end
         match operation.do:
             case "open":
-                files[operation.name] = volume.open(operation.name, bool(operation.size))
+                files[operation.name] = disk.open(operation.name, bool(operation.size))
             case "write":
                 files[operation.name].write(operation.data)
             case "sync":
@@ -261,10 +261,10 @@
             case "truncate":
                 files[operation.name].truncate(operation.size)
             case "rename":
-                volume.rename(operation.name, operation.other)
-                files[operation.other] = files.pop(operation.name, volume.open(operation.other))
+                disk.rename(operation.name, operation.other)
+                files[operation.other] = files.pop(operation.name, disk.open(operation.other))
             case "remove":
-                volume.remove(operation.name)
+                disk.remove(operation.name)
             case "sync names":
-                volume.sync_directory()
-    return volume
+                disk.sync_directory()
+    return disk
--- a/sprucenotch/rig/sweep.py
+++ b/sprucenotch/testbed/sweep.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from sprucenotch.rig import revision
-from sprucenotch.rig.process import ChildProcess
-from sprucenotch.rig.store import Row, Store
+from sprucenotch.testbed import revision
+from sprucenotch.testbed.process import ChildProcess
+from sprucenotch.testbed.run_store import Row, Store
 
 TRACE = "trace.txt"  # file next to the logs of a run that could not be completed
 FRAME = " |+-"  # characters that tracebacks draw around the members of an exception group
@@ -36,11 +36,11 @@
 
     job: Job
     code: int
-    said: str  # the error, in one line
+    error: str  # in one line
     crashed: bool = False  # the testbed itself failed, not a process under test
 
 
-def open_jobs(store: Store, jobs: Sequence[Job]) -> list[Job]:
+def pending_jobs(store: Store, jobs: Sequence[Job]) -> list[Job]:
     """The jobs that have no valid run in the store yet; an interrupted sweep continues with these."""
     keys = _keys(jobs)
     done = {key: store.done(*key) for key in set(keys.values())}
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -16,10 +16,10 @@
 
 from sprucenotch.platform.disk import RealDisk
 from sprucenotch.platform.recording_disk import Operation, RecordingDisk
-from sprucenotch.rig import syscalls
-from sprucenotch.rig.revision import ROOT
-from sprucenotch.rig.syscalls import SHORT, Call, Control, Rule
-from sprucenotch.rig.volume import replay
+from sprucenotch.testbed import syscalls
+from sprucenotch.testbed.revision import ROOT
+from sprucenotch.testbed.simulated_disk import replay
+from sprucenotch.testbed.syscalls import SHORT, Call, Control, Rule
 from tests.failing_calls import needs_compiler
 
 WRITES = 20
@@ -46,8 +46,8 @@
     for number in range(WRITES):
         recorded.append(Operation("write", "journal", data=b"%04d" % number))
     monkeypatch.undo()
-    volume = replay((tmp_path / "sidecar.operations").read_bytes())
-    assert volume.read("journal") == b"".join(b"%04d" % number for number in range(WRITES))
+    disk = replay((tmp_path / "sidecar.operations").read_bytes())
+    assert disk.read("journal") == b"".join(b"%04d" % number for number in range(WRITES))
 
 
 @needs_compiler
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,18 +13,18 @@
 from hypothesis import strategies as st
 
 from sprucenotch.platform.disk import RealDisk
-from sprucenotch.rig.cuts import FORGOTTEN, MODES, explore
-from sprucenotch.rig.volume import Volume
 from sprucenotch.store.frame import FORMAT, PREAMBLE, Header, encode, file_start
 from sprucenotch.store.reader import Owner, Schema, read
 from sprucenotch.store.store import Bounds, Store, StoreLocked, open_store
-from tests.test_command_line import typed
+from sprucenotch.testbed.power_cuts import MODES, SKIPPED_STEPS, explore_power_cuts
+from sprucenotch.testbed.simulated_disk import SimulatedDisk
+from tests.test_command_line import run_command
 
 OWNER, NOW = Owner("lab", "sidecar-0"), 1_000_000_000_000
 SCHEMA = Schema(2, int, {1: lambda payload: int(payload)})
 
 
-def filled(disk: Volume, *values: int) -> None:
+def filled(disk: SimulatedDisk, *values: int) -> None:
     opened = open_store(disk, OWNER, SCHEMA, NOW)
     for value in values:
         opened.store.append(value)
@@ -34,13 +34,13 @@
 
 def test_power_cut_loses_no_durable_record_and_start_succeeds() -> None:
     for mode in MODES:
-        found = explore(mode, range(20))
+        found = explore_power_cuts(mode, range(20))
         assert found.cases > 800 and found.broken == []
 
 
-@pytest.mark.parametrize("forgotten", FORGOTTEN)
-def test_exploration_detects_each_omitted_precaution(forgotten: str) -> None:
-    assert explore("always", range(12), forgotten).broken
+@pytest.mark.parametrize("skipped", SKIPPED_STEPS)
+def test_exploration_detects_each_omitted_precaution(skipped: str) -> None:
+    assert explore_power_cuts("always", range(12), skipped).broken
 
 
 @settings(max_examples=150, deadline=None)
@@ -48,7 +48,7 @@
 def test_corrupted_file_leaves_prefix_of_records_and_is_not_deleted(
     data: st.DataObject,
 ) -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     filled(disk, *range(20))
     name = data.draw(st.sampled_from([n for n in disk.names() if n != "lock"]))
     before = disk.read(name)
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("reason", FILES)
 def test_refused_file_is_set_aside_with_reason_and_store_opens(reason: str) -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     disk.open("journal.1").write(FILES[reason])
     opened = open_store(disk, OWNER, SCHEMA, NOW, oldest=500 * 10**9)
     assert [(refusal.name, refusal.reason) for refusal in opened.found.refused] == [("journal.1", reason)]
@@ -115,7 +115,7 @@
 
 
 def test_records_of_older_schema_are_read_and_rewritten_by_compaction() -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     disk.open("journal.1").write(file_start(header(schema=1), 0) + encode(1, b"41") + encode(2, b"42"))
     opened = open_store(disk, OWNER, SCHEMA, NOW)
     assert opened.found.records == (41, 42) and not opened.found.refused
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("trouble", ["names", "open", "write", "sync", "lock"])
 def test_failing_disk_is_reported_and_does_not_prevent_start(trouble: str) -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     filled(disk, 1, 2)
     disk.failing = {trouble}
     opened = open_store(disk, OWNER, SCHEMA, NOW)
@@ -136,9 +136,9 @@
 
 
 def test_full_disk_drops_records_and_start_finds_all_intact_ones() -> None:
-    disk = Volume()
+    disk = SimulatedDisk()
     opened = open_store(disk, OWNER, SCHEMA, NOW, "always")
-    disk.room = 100
+    disk.free_bytes = 100
     for value in range(10):
         opened.store.append(value)
     assert opened.store.problem == "No space left on device" and opened.store.dropped_records > 0
@@ -168,7 +168,7 @@
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 2**32))
 def test_any_mix_of_appends_compactions_and_restarts_keeps_records_in_order(seed: int) -> None:
-    rng, disk, wrote = random.Random(seed), Volume(), list[int]()
+    rng, disk, wrote = random.Random(seed), SimulatedDisk(), list[int]()
     steps: Iterator[None] = iter(())
     store: Store[int] = open_store(disk, OWNER, SCHEMA, NOW, bounds=Bounds(files=3)).store
     for _ in range(rng.randrange(60)):
@@ -193,19 +193,19 @@
         opened.store.append(value)
         opened.store.close()
         opened.store._disk.unlock()
-    assert typed("store", "check", str(tmp_path))[:2] == (
+    assert run_command("store", "check", str(tmp_path))[:2] == (
         0,
         "sidecar-0 of lab: 3 records, last 3\nall is whole\n",
     )
     with (tmp_path / "journal.3").open("ab") as file:
         file.write(b"torn")
-    code, said, _ = typed("store", "check", "--json", str(tmp_path))
+    code, said, _ = run_command("store", "check", "--json", str(tmp_path))
     assert code == 1 and json.loads(said)["refused"] == [{"name": "journal.3", "reason": "torn", "at": ANY}]
-    assert typed("store", "repair", str(tmp_path))[1].endswith("set aside: journal.3.broken-1\n")
-    assert json.loads(typed("store", "show", "--json", str(tmp_path))[1])["records"] == [1, 2, 3]
-    assert typed("store", "check", str(tmp_path))[0] == 0
+    assert run_command("store", "repair", str(tmp_path))[1].endswith("set aside: journal.3.broken-1\n")
+    assert json.loads(run_command("store", "show", "--json", str(tmp_path))[1])["records"] == [1, 2, 3]
+    assert run_command("store", "check", str(tmp_path))[0] == 0
     (tmp_path / "empty").mkdir()
-    code, _, complaint = typed("store", "show", str(tmp_path / "empty"))
+    code, _, complaint = run_command("store", "show", str(tmp_path / "empty"))
     assert code == 2 and complaint.count("\n") == 1
     open_store(RealDisk(tmp_path), OWNER, SCHEMA, NOW)
-    assert typed("store", "repair", str(tmp_path))[0] == 6
+    assert run_command("store", "repair", str(tmp_path))[0] == 6
