--- a/sprucenotch/api.py
+++ b/sprucenotch/api.py
@@ -51,11 +51,13 @@
     ERROR = 1  # the endpoint answered with an error; it may have run
     FULL = 2  # rejected by the endpoint before it ran
     TIMEOUT = 3  # no answer in time; it may have run, or may still be running
-    CONNECT_FAILED = 4  # no connection, so it never ran
+    CONNECT_FAILED = 4  # no connection, or the request was not sent whole, so it never ran
     RESET = 5  # the connection broke during the attempt; it may have run
     CANCELLED = 6  # cancelled by this sidecar; it may have run
     MOOT = 7  # never sent: the request had ended, expired or used up its attempts
-    LOCAL_FAILURE = 8  # never sent: this machine lacked descriptors, memory or ports
+    # Never sent: this machine lacked descriptors or memory, the limit on connections was reached, or the
+    # attempt timed out while a local failure to connect (also for lack of ports or routes) was being retried.
+    LOCAL_FAILURE = 8
 
 
 NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.LOCAL_FAILURE))
--- a/sprucenotch/policy/admission.py
+++ b/sprucenotch/policy/admission.py
@@ -55,16 +55,18 @@
         self.spread = [count * HISTOGRAM_RETENTION for count in self.spread]
 
     def level(self, business: int, event: api.Request, now: int) -> tuple[int, float]:
-        """Return the request's level (business x 128 + user) and its fractional position in it, 0 to 1.
+        """Count an arrival; return its level (business x 128 + user) and its position in the level, 0 to 1.
 
-        The fraction lets a cut within a level shed a part of it.
+        Call it once for each arrival, as the counts determine where the cut moves. The position lets a cut
+        within a level shed a part of that level. `now`, in nanoseconds, gives the hour: with each hour, keys
+        and tenants are hashed to other user levels.
         """
         salt = mix(now // HOUR)
         if event.key:
             level = business * USER_LEVELS + mix(event.key ^ salt) % USER_LEVELS
             self.histogram[level] = self.histogram.get(level, 0.0) + 1
             return level, 0.5
-        # One sidecar sees few user levels of keyless requests, so they count as spread evenly over all.
+        # One sidecar sees few user levels of keyless requests, so they count as equally many at each level.
         # A tenant is hashed with the sidecar's number: hashed alone, it would put much traffic on one level.
         self.spread[business] += 1
         tenant_hash = mix(self.instance ^ mix(event.tenant ^ salt))
--- a/sprucenotch/policy/balance.py
+++ b/sprucenotch/policy/balance.py
@@ -29,15 +29,17 @@
 MIN_OVERLOAD_WAIT = 0.1
 OVERLOAD_SERVICE_TIMES = 1.5
 MAX_SERVICE_SHARE = 0.25  # upper bound of a service time in the slack: at a start in overload it is unknown
-MIN_CUT_RISE, MAX_CUT_RISE = 0.05, 0.5  # share of the passed traffic that one rise of the cut sheds
+# Share of the passed traffic that one rise of the cut sheds; a rise below the minimum is not made.
+MIN_CUT_RISE, MAX_CUT_RISE = 0.05, 0.5
 DRAIN_SHARE = 0.25  # send this much less than servers finish, per wait of the whole slack, to empty queues
 MIN_CUT_DROP, MAX_CUT_DROP = 0.005, 0.1  # share of the arrivals admitted again per cycle without overload
-CUT_DROP_RAMP_CYCLES = 8  # consecutive cycles without overload until the drop may reach its maximum
+CUT_DROP_RAMP_CYCLES = 8  # cycles without overload since the last rise until a drop may reach its maximum
 BASE_LATENCY_GROWTH = 1.0025  # per cycle: the latency without queueing may rise, to forget an old minimum
 MAX_BASE_LATENCY, DEFAULT_BASE_LATENCY = 0.5, 0.25  # of the aim: its upper bound, and before any answer
 LATENCY_RETENTION = 0.95  # of the samples of the class means, per cycle: covers about 5 s
 RETRIES_PER_REQUEST, MAX_RETRY_BUDGET = 0.1, 5.0  # retry budget gained per request, and its upper bound
-CROSSING_STEP = 0.025  # change of the share that crosses zones, per cycle and wait difference of one overload
+# Change of the share that crosses zones, per cycle, if the waits differ by the overload threshold.
+CROSSING_STEP = 0.025
 RETRY_AFTER = SECOND  # advice to a refused client, if clients take any: some cycles
 # Of the pooled samples, per cycle: covers about a second; the larger share is for few samples.
 MIN_POOL_RETENTION, MAX_POOL_RETENTION = 0.6, 0.85
@@ -99,7 +101,8 @@
         self.engines.apply_settings(settings)
         self.admission.apply_settings(settings, new_levels, len(ranks))
         self.aim = self.engines.aim
-        # Sidecars that share statistics shed in time; probing would then cost more than it gains.
+        # With peers, sidecars pool their statistics and so shed early enough without probing, which would
+        # then cost more than it gains.
         self.probing = (
             settings.probes and not settings.peers and PROBES_PER_ROUND * settings.probe_price < PROBE_BENEFIT
         )
@@ -358,9 +361,12 @@
         return (wait_sum / wait_count if wait_count > 0.5 else 0.0), (answers / sends if sends > 0.5 else 1.0)
 
     def adjust_cut_and_crossing(self, now: int) -> None:
-        """Adjust the share of requests that crosses zones, and then the cut."""
+        """Adjust the share of requests that crosses zones, and then the cut, at the end of a cycle.
+
+        Waits are shares of the slack (aim less base latency); `now` is in nanoseconds.
+        """
         zones, home = range(len(self.zone_stats)), self.settings.zone
-        self.pressure, rate = self.zone_load(*zones)  # over the sends to all zones
+        self.pressure, answers_per_send = self.zone_load(*zones)  # over the sends to all zones
         local, remote = (
             self.zone_load(*(z for z in zones if (z == home) == own))[0] for own in (True, False)
         )
@@ -372,8 +378,9 @@
             self.crossing = min(1.0, max(0.0, self.crossing + step))
         if self.pressure > self.over:
             # Overloaded servers still finish requests at their capacity. Send that rate, less a part to drain
-            # their queues. Late answers to sends from before the last rise must not raise the cut again.
-            sustainable = rate * (1 - DRAIN_SHARE * min(2.0, self.pressure))
+            # their queues. Late answers to sends from before the last rise must not raise the cut again, so a
+            # rise also reduces the counted sends.
+            sustainable = answers_per_send * (1 - DRAIN_SHARE * min(2.0, self.pressure))
             if sustainable < 1 - MIN_CUT_RISE:
                 share = min(MAX_CUT_RISE, 1 - sustainable)
                 self.admission.raise_cut(share)
@@ -382,7 +389,7 @@
                     stats[SEND_COUNT] *= 1 - share
         elif self.admission.cut > 0:
             # Some overloads sustain themselves until the load is low, so the first steps are small; they grow
-            # with the number of cycles without overload.
+            # with the number of cycles without overload since the last rise.
             self.calm_cycles = min(self.calm_cycles + 1, CUT_DROP_RAMP_CYCLES)
             ramp = (1 - max(0.0, self.pressure) / self.over) * self.calm_cycles / CUT_DROP_RAMP_CYCLES
             self.admission.lower_cut(MIN_CUT_DROP + (MAX_CUT_DROP - MIN_CUT_DROP) * ramp)
--- a/sprucenotch/policy/engines.py
+++ b/sprucenotch/policy/engines.py
@@ -104,7 +104,7 @@
         self.subset_stale = True
 
     def subset_size(self) -> int:
-        """Return the target size of the subset of one zone side, in warm members."""
+        """Return the target size of each subset (of this zone, of the other zones), in warm members."""
         priced = self.settings.connection_price + self.settings.handshake_price > 0
         sides = max(1, sum(map(bool, self.order)))
         return (MIN_SUBSET_PRICED if priced else MIN_SUBSET_FREE) + int(
--- a/sprucenotch/settings.py
+++ b/sprucenotch/settings.py
@@ -18,7 +18,8 @@
 from sprucenotch import api
 
 MAX_FLOAT = 1.7976931348623157e308  # the largest finite float: TOML has infinity, JSON does not
-# A number may be an integer or a float, and keeps its type.
+# A number may be an integer or a float, and keeps its type; so a Count need not be an integer. The durations
+# below are in nanoseconds; `Time` is at least 1 ns.
 Share: TypeAlias = Annotated[
     Annotated[int, Meta(ge=0)] | Annotated[float, Meta(ge=0, le=MAX_FLOAT)],
     Meta(description="a number of at least 0"),
@@ -370,7 +371,8 @@
 
 
 def entry_struct_type(type_: Any) -> type[Struct] | None:
-    """Return the Struct type of a list's entries; None if the type is no list of objects."""
+    """Return the Struct type of the entries of a tuple of Structs (in JSON: a list of objects), also if the
+    tuple is optional; None for every other type."""
     inner = strip_annotations(type_)
     for choice in (inner, *get_args(inner)):
         if get_origin(choice) is tuple:
