--- a/sprucenotch/node/attempt.py
+++ b/sprucenotch/node/attempt.py
@@ -131,6 +131,11 @@
         self._end(outcome, None)
 
     async def _open(self) -> None:
+        """Open a connection and send the request on it, or end the attempt.
+
+        Running out of descriptors or memory ends it as LOCAL_FAILURE. Other failures do so as CONNECT_FAILED,
+        also those on this machine (lack of ports or routes) that lasted until the connect timeout.
+        """
         connection, failure = None, Outcome.CONNECT_FAILED
         try:
             connection = await self._upstream.connect(self._pool, self._note_local_failure)
@@ -139,7 +144,7 @@
                 failure = Outcome.LOCAL_FAILURE
         self._failed_locally = False
         self._connect = None
-        if self._done is None:
+        if self._done is None:  # the attempt has ended meanwhile
             if connection is not None:
                 self._upstream.give(self._pool, connection)
         elif connection is None:
@@ -148,6 +153,8 @@
             self._write(connection)
 
     def _note_local_failure(self, problem: OSError) -> None:
+        """Called for each failure on this machine that is retried; until the connect ends, a timeout of the
+        attempt is then reported as LOCAL_FAILURE."""
         self._failed_locally = True
 
     def _write(self, connection: Connection) -> None:
@@ -184,7 +191,10 @@
 
 
 def outcome_of(answer: Answer | None) -> int:
-    """Return the outcome of an answer. Neither served nor explicitly declined, it may have been executed."""
+    """Return the outcome of an answer; None means that the connection broke.
+
+    Unless the server declined the request explicitly (FULL), it may have been executed.
+    """
     if answer is None:
         return Outcome.RESET
     if answer.status == 200:
--- a/sprucenotch/node/config.py
+++ b/sprucenotch/node/config.py
@@ -165,7 +165,10 @@
 
 
 def stand_in(top: dict[str, Any], environ: Mapping[str, str]) -> None:
-    """Set keys that the file leaves out from the PROXY_<KEY> variables."""
+    """Set name, listen, discovery and mgmt from their PROXY_<KEY> variables, if the file leaves them out.
+
+    No other key is read from the environment.
+    """
     for key in ("name", "listen", "discovery", "mgmt"):
         if (value := environ.get(f"PROXY_{key.upper()}")) is not None:
             top.setdefault(key, value)
--- a/sprucenotch/node/connection.py
+++ b/sprucenotch/node/connection.py
@@ -44,7 +44,7 @@
 
     def __init__(self, on_lost: Callable[[Connection], None] | None = None) -> None:
         self._on_lost = on_lost
-        self.counted = False  # among the open and connecting ones
+        self.counted = False  # whether it counts as one of the open and connecting connections
         self._transport: SocketTransport | None = None
         self._on_answer: AnswerCallback | None = None
         self._on_finished = nothing
@@ -87,10 +87,14 @@
         on_finished: Callable[[], None] = nothing,
         upload: Stream | None = None,
     ) -> bool:
-        """Write a request, whose body comes from `upload` if it is streamed. Return False if its last byte
-        certainly was not sent. Otherwise `on_answer` is called once with the answer: UNREADABLE if it is
-        malformed, None if the connection broke. `on_written` is called once the last byte has been sent,
-        `on_finished` once the answer has ended.
+        """Write a request. `data` is all of it, or only its head if `upload` streams the body.
+
+        Returns False if the connection was closed before the last byte was sent: the server cannot have
+        executed the request, and no callback is called. Returns True otherwise, which does not mean that the
+        request was sent. Then `on_answer` is called once with the answer: UNREADABLE if it is malformed, None
+        if the connection broke. `on_written` is called once the kernel has accepted the last byte,
+        `on_finished` once the answer has ended, so that the connection can be reused. After `close` none of
+        them is called.
         """
         transport = self._transport
         if transport is None or transport.is_closing():
@@ -100,7 +104,7 @@
         self._malformed = self._answer_complete = False
         self._reset_answer()
         transport.write(data)
-        if transport.is_closing():  # the peer was first
+        if transport.is_closing():  # the peer has closed the connection
             self.close()
             return False
         self._on_answer, self._on_written, self._on_finished = on_answer, on_written, on_finished
--- a/sprucenotch/node/serve.py
+++ b/sprucenotch/node/serve.py
@@ -132,8 +132,13 @@
 
 
 def log_loop_failure(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log an error of the event loop. A failure for lack of resources, such as memory to read a signal's
-    wake-up, is retried by the loop in its next iteration; anything else is a fault."""
+    """Log an error that the event loop reports.
+
+    A lack of descriptors or memory is logged as a warning: the loop repeats its own calls in the next
+    iteration, such as reading the byte that wakes it for a signal. Errors of callbacks and tasks arrive here
+    as well; those are not repeated, but a lack of resources is logged in the same way. Anything else is a
+    programming error and goes to the default handler.
+    """
     problem = context.get("exception")
     if problem is not None and is_exhaustion(problem):
         event(log, logging.WARNING, "event loop, tried again", what=context["message"], why=str(problem))
--- a/sprucenotch/node/transport.py
+++ b/sprucenotch/node/transport.py
@@ -301,6 +301,10 @@
         self._loop.call_soon(self._notify_lost, problem)
 
     def _notify_lost(self, problem: OSError | None) -> None:
+        """Report the end of the connection to the protocol, then close the socket. Scheduled by `_end`.
+
+        `problem` is the error that ended it; None after a regular end, `close` or `abort`.
+        """
         try:
             self._protocol.connection_lost(problem)
         finally:
@@ -353,6 +357,10 @@
 
 
 async def _wait_connected(connecting: socket.socket) -> None:
+    """Wait until a connect has succeeded or failed; SO_ERROR tells which. Has no timeout of its own.
+
+    The descriptor stays in the kernel's epoll set until it is closed; the next watch of it changes the entry.
+    """
     poller = running_poller()
     writable: asyncio.Future[None] = poller.loop.create_future()
 
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -62,7 +62,9 @@
     def learn(self, hosts: Iterable[Host], whole: bool) -> None:
         """Apply a host list (`whole`) or changes to it.
 
-        Called before the balancer sees the list, so that a connection being opened already sees a drain.
+        With `whole`, endpoints that are not listed are removed. Endpoints that changed their address or are
+        not ready lose their idle connections. Called before the balancer sees the list, so that an attempt
+        that is still connecting does not send its request to an endpoint that drains.
         """
         listed = set()
         for host in hosts:
@@ -225,7 +227,8 @@
     async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore) -> Connection:
         """Open a connection. It counts against the limit until it is lost, which may be before this returns.
 
-        A failure on this machine is reported to `failed` and retried until the connect timeout. Raises
+        A failure on this machine is reported to `failed` and retried. The connect timeout limits each try,
+        and also the time until the last one begins, so a connect may take up to twice as long. Raises
         OSError, which includes TimeoutError.
         """
 
