--- a/sprucenotch/recovery/writer.py
+++ b/sprucenotch/recovery/writer.py
@@ -34,7 +34,7 @@
         self._condition = threading.Condition()
         self._closing = False
         self.store: Store[StateRecord] | None = None
-        self._problem_opening = ""
+        self._open_error = ""
         self._thread = threading.Thread(target=self._run, name="state", daemon=True)
 
     def start(self) -> None:
@@ -43,7 +43,7 @@
     @property
     def problem(self) -> str:
         """Why nothing can be stored; empty if it can, or while the previous process still writes."""
-        return self._problem_opening if self.store is None else self.store.problem
+        return self._open_error if self.store is None else self.store.problem
 
     def put(self, record: StateRecord) -> None:
         """Queue a record for writing. Never waits for the disk."""
@@ -89,19 +89,23 @@
                 synced = time.monotonic()
 
     def _open(self) -> None:
-        """Open the store, unless its disk fails: what could not be read must not be overwritten."""
+        """Open the store and restore the stored state. Raises StoreLocked.
+
+        If the disk fails, `store` stays None, so that nothing that could not be read is overwritten.
+        """
         opened = self._open_store()
         if opened.problem:
-            if not self._problem_opening:
+            if not self._open_error:
                 event(log, logging.WARNING, "state cannot be kept", why=opened.problem)
-            self._problem_opening = opened.problem
+            self._open_error = opened.problem
             return
-        self._problem_opening = ""
+        self._open_error = ""
         for refusal in opened.found.refused:
             event(log, logging.WARNING, "state not taken", why=str(refusal))
         for name in opened.set_aside:
             event(log, logging.WARNING, "state set aside", file=name)
-        # What the previous process stored remains until this one replaces it, separately for each field.
+        # What the previous process stored remains until this one replaces it, separately for each field. Why
+        # `fold` rejects a record (its second result) is not logged here.
         self._state, _ = fold(opened.found.records, self._now())
         self.store = opened.store
 
--- a/sprucenotch/seams/disk.py
+++ b/sprucenotch/seams/disk.py
@@ -50,7 +50,10 @@
         """Make the folder's entries durable: creations, renames and removals."""
 
     def lock(self, name: str) -> None:
-        """Lock a file until `unlock` or the end of the process. Raises BlockingIOError if it is taken."""
+        """Lock a file, creating it if needed, until `unlock` or the end of the process.
+
+        Does not wait: raises BlockingIOError if the file is locked already.
+        """
 
     def unlock(self) -> None:
         """Release all locks."""
@@ -106,9 +109,8 @@
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW
         descriptor = os.open(self._folder / name, flags, 0o600)
         try:
-            fcntl.flock(
-                descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB
-            )  # the kernel releases it when the process ends
+            # The kernel releases the lock when the process ends.
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(descriptor)
             raise
--- a/sprucenotch/seams/system_errors.py
+++ b/sprucenotch/seams/system_errors.py
@@ -66,9 +66,11 @@
 async def retried(
     call: Callable[[], Awaitable[T]], timeout: float, failed: Callable[[OSError], None] = ignore
 ) -> T:
-    """Call and return the result; retry after local failures for at most `timeout` seconds.
+    """Call and return the result; retry after local failures, as long as `timeout` seconds are not over.
 
-    `failed` is called with each failure that is retried. Raises the last failure.
+    No retry is scheduled to begin later than that, but a call in progress is not interrupted, so the total
+    may be longer by the duration of the last call. `failed` is a callback for each failure that is retried.
+    Raises the last failure, and at once a failure that is not local.
     """
     deadline = get_running_loop().time() + timeout
     for pause in pauses():
@@ -79,7 +81,7 @@
                 raise
             failed(problem)
         await sleep(pause)
-    raise AssertionError("pauses have no end")
+    raise AssertionError("unreachable: the sequence of delays is endless")
 
 
 def pauses() -> Iterator[float]:
