--- a/sprucenotch/cli/config.py
+++ b/sprucenotch/cli/config.py
@@ -49,6 +49,8 @@
 @app.command()
 def diff(old: File, new: File, as_json: AsJson = False) -> None:
     """Show what a reload (SIGHUP) from OLD to NEW would change, and whether it would be accepted."""
+    # With two valid files the exit status is Exit.NO if SIGHUP would reject the new one, else 0, whether or
+    # not they differ. An accepted file may hold changes that need a restart; the list marks them.
     before, in_force = load(old)
     after, new_config = load(new)
     changes = resolve.changes(before, after, os.environ)
--- a/sprucenotch/config/schema.py
+++ b/sprucenotch/config/schema.py
@@ -46,10 +46,13 @@
 
 
 def _structs(type_: Any) -> Iterator[type[Struct]]:
-    """Yield a Struct type and the Struct types of its fields, recursively."""
-    if (inner := settings.struct_type(type_)) is not None:
-        yield inner
-        for field in msgspec.structs.fields(inner):
+    """Yield all Struct types within a type: itself, its type arguments and the types of its fields.
+
+    `type_` may also be a tuple or a union. A type may be yielded more than once.
+    """
+    if (struct := settings.struct_type(type_)) is not None:
+        yield struct
+        for field in msgspec.structs.fields(struct):
             yield from _structs(field.type)
-    for part in get_args(settings.strip_annotations(type_)):
-        yield from _structs(part)
+    for argument in get_args(settings.strip_annotations(type_)):
+        yield from _structs(argument)
--- a/sprucenotch/sim/wire.py
+++ b/sprucenotch/sim/wire.py
@@ -21,7 +21,8 @@
 _A_ENDPOINT, _A_TELL, _A_TEXT = Struct("<BH6s"), Struct("<BHHH"), Struct("<BHH")
 
 OUTCOMES = {0: 0, 13: 1, 8: 2, 4: 3, 14: 4, 10: 5, 1: 6, 9: 7}  # code on the wire: api.Outcome
-LIST_KINDS = {0: 0, 2: 1, 3: 2, 4: 3}  # code on the wire: api.ListKind
+# Code on the wire: api.ListKind. The wire has no code 1, and no code for SILENT.
+LIST_KINDS = {0: 0, 2: 1, 3: 2, 4: 3}
 _HEALTHS = (0, 1, 2)
 
 
@@ -73,12 +74,16 @@
         if at != end:
             raise WireError(f"{end - at} bytes left after the last record")
 
+    # Each reader decodes one record of the frame `b`, whose body starts at the byte offset `at`. It returns
+    # the offset of the next record, the number of the instance, and the event (None: there is no event).
+
     def _attach(self, b: bytes, at: int) -> Any:
         instance, seed, n = _ATTACH.unpack_from(b, at)
         at += 14
         return at + n, instance, Attach(seed, b[at : at + n])
 
     def _pool(self, b: bytes, at: int) -> Any:
+        """Decode the definition of a numbered endpoint list, to which later records refer."""
         number, n = _POOL.unpack_from(b, at)
         at += 6
         if at + 24 * n > len(b):
@@ -91,6 +96,8 @@
         return at + 24 * n, 0, None
 
     def _sync(self, b: bytes, at: int) -> Any:
+        """Decode an endpoint list from discovery, given by the number under which it was defined, or a failed
+        call to discovery (kind 0), which has no list. The last field of the record is ignored."""
         instance, kind, number, _ = _SYNC.unpack_from(b, at)
         if kind not in LIST_KINDS:
             raise WireError(f"unknown list kind {kind}")
