--- a/sprucenotch/rig/play.py
+++ b/sprucenotch/rig/play.py
@@ -52,7 +52,7 @@
     seed: int
     revision: str
     began: float  # time of the first request in the history
-    seconds: float
+    seconds: float  # end of the run, on the same clock as `began`
     summary: Summary
     findings: Sequence[Finding]
     judged: Mapping[str, int]
--- a/sprucenotch/rig/report.py
+++ b/sprucenotch/rig/report.py
@@ -1,4 +1,8 @@
-"""Renders a run as a self-contained HTML page: results, findings with their time lines, plots as SVG."""
+"""Renders a run as a self-contained HTML page: results, findings with their time lines, plots as SVG.
+
+`seconds` is the list of a run's measurements, one entry for each second. Times in plots and fault intervals
+are in seconds since the first request; `draw` is a function that draws measurements on axes.
+"""
 
 from __future__ import annotations
 
--- a/sprucenotch/rig/sidecar.py
+++ b/sprucenotch/rig/sidecar.py
@@ -23,8 +23,10 @@
 
 
 class ReservedPort:
-    """A free port kept for this run by a socket that is bound (SO_REUSEPORT) but never listens, so that the
-    sidecar can listen on it."""
+    """A free port on 127.0.0.1, reserved by a socket that is bound but never listens.
+
+    With SO_REUSEPORT the sidecar can listen on it; programs that do not set that option cannot bind it.
+    """
 
     def __init__(self) -> None:
         self._held = socket.socket()
--- a/sprucenotch/rig/truth/history.py
+++ b/sprucenotch/rig/truth/history.py
@@ -83,7 +83,7 @@
 
 
 class Left(TimedEvent, frozen=True, kw_only=True):
-    """A client closed its connection before the answer."""
+    """A client closed its connection without reading the answer, which may have arrived already."""
 
     sidecar: str
     life: int
@@ -145,11 +145,11 @@
 
 
 class Fault(TimedEvent, frozen=True, kw_only=True):
-    """A fault begins or is healed. Processes are given by name, links as "a>b"."""
+    """A fault begins (`on`) or is healed; both events have its number. Links are given as "a>b"."""
 
     number: int
     do: str
-    befalls: tuple[str, ...]
+    befalls: tuple[str, ...]  # processes and links that it affects
     hits: tuple[str, ...]  # processes and links on which findings are excused while it lasts
     on: bool
 
--- a/sprucenotch/rig/truth/ledger.py
+++ b/sprucenotch/rig/truth/ledger.py
@@ -96,7 +96,7 @@
         self.judged = Counter[str]()  # by rule: cases decided
         self.excused = Counter[str]()
         self._faults = list(self.events_of(Fault))
-        self._disturbed = self._read_faults()
+        self._disturbed = self._fault_intervals()
         self._lags = [(e.at, e.late) for e in self.events_of(Lag) if e.late >= MIN_LAG]
         listed = list(self.events_of(Listed))
         self._listed_versions = [e.at for e in listed], [e.version for e in listed]
@@ -113,7 +113,12 @@
     def events_of(self, kind: type[E]) -> Iterator[E]:
         return (event for event in self.history if isinstance(event, kind))
 
-    def _read_faults(self) -> Intervals:
+    def _fault_intervals(self) -> Intervals:
+        """The intervals, in seconds, in which findings about a process or link are excused by a fault.
+
+        The names are those of `Fault.hits`. An interval ends FAULT_AFTER_EFFECT after the fault is healed;
+        for a fault that is not healed, at the last event.
+        """
         intervals, begun = Intervals(), dict[int, Fault]()
         last = self.history[-1].at if self.history else 0.0
         for fault in self._faults:
