--- a/sprucenotch/config/resolve.py
+++ b/sprucenotch/config/resolve.py
@@ -25,7 +25,7 @@
     """Yield all values of a file in the platform's form, with variables and defaults for missing ones.
 
     A missing top-level key takes the value of its PROXY_<KEY> variable, whatever the key. A sidecar itself
-    takes only the keys listed in `sprucenotch.node.config.stand_in` from variables.
+    takes only the keys listed in `sprucenotch.node.config.apply_environment` from variables.
     """
     return _rows(raw, settings.File, "", environ)
 
