--- a/sprucenotch/cli/demo.py
+++ b/sprucenotch/cli/demo.py
@@ -24,7 +24,7 @@
 from sprucenotch.testbed.fake_server_proxy import AnyEngine
 from sprucenotch.testbed.named_faults import NAMED_FAULTS, FaultSwitches
 from sprucenotch.testbed.plan import CLASSES, Fleet, Load, Plan, Step
-from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.process import RunError
 from sprucenotch.testbed.runner import MAX_LOAD_LAG, PlanRun, SecondStats
 from sprucenotch.testbed.summary import OUTCOMES
 
@@ -55,7 +55,7 @@
     )
     try:
         run = uvloop.run(_play(plan, seed, live=not as_json and sys.stdout.isatty(), quiet=as_json))
-    except (RigError, OSError) as problem:
+    except (RunError, OSError) as problem:
         fail(Exit.BAD_INPUT, str(problem))
     if as_json:
         print_json(_summary(run))
--- a/sprucenotch/cli/hunt.py
+++ b/sprucenotch/cli/hunt.py
@@ -13,7 +13,7 @@
 from sprucenotch.config import units
 from sprucenotch.testbed.hunt import campaign
 from sprucenotch.testbed.hunt.campaign import BrokenRule, Campaign, Totals
-from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.process import RunError
 from sprucenotch.testbed.sweep import Failed, Job
 
 MIN_LENGTH, MAX_LENGTH = 8.0, 600.0  # seconds of a run
@@ -49,7 +49,7 @@
         failed = _play(hunt_campaign, wanted)
     except KeyboardInterrupt:
         interrupted = True
-    except RigError as problem:
+    except RunError as problem:
         exit_with(problem)
     rows = hunt_campaign.rows(wanted)
     found = campaign.broken_rules(rows, failed)
--- a/sprucenotch/cli/rig.py
+++ b/sprucenotch/cli/rig.py
@@ -22,7 +22,7 @@
 from sprucenotch.testbed import revision as revisions
 from sprucenotch.testbed import soak as soaks
 from sprucenotch.testbed import sweep as sweeps
-from sprucenotch.testbed.process import ProcessError, RigError
+from sprucenotch.testbed.process import ProcessError, RunError
 from sprucenotch.testbed.revision import Program, RevisionError
 from sprucenotch.testbed.run_store import Row, Store, StoreError
 from sprucenotch.testbed.runner import PlanRun, Result, SecondStats
@@ -33,7 +33,7 @@
 app = typer.Typer(
     no_args_is_help=True, help="Testbed: run several processes with faults and check what breaks."
 )
-CODES: dict[type[RigError], Exit] = {
+CODES: dict[type[RunError], Exit] = {
     ProcessError: Exit.PROCESS, AddressError: Exit.ADDRESS, StoreError: Exit.STORE,
     RevisionError: Exit.REVISION,
 }  # fmt: skip
@@ -78,7 +78,7 @@
     return found
 
 
-def exit_with(problem: RigError | OSError) -> NoReturn:
+def exit_with(problem: RunError | OSError) -> NoReturn:
     """Exit with the code of that error and its message."""
     code = next((code for kind, code in CODES.items() if isinstance(problem, kind)), Exit.BAD_INPUT)
     fail(code, str(problem))
@@ -93,12 +93,12 @@
 @app.command()
 def check(plan: PlanName) -> None:
     """Check a plan and list all errors in it."""
-    told = load(plan)
-    faults = "drawn by seed" if told.nemesis is not None else f"{len(told.steps)} scheduled"
-    fleet = told.fleet
+    loaded_plan = load(plan)
+    faults = "drawn by seed" if loaded_plan.nemesis is not None else f"{len(loaded_plan.steps)} scheduled"
+    fleet = loaded_plan.fleet
     print(
-        f"{told.title}: {told.length:g} s, {fleet.sidecars} sidecars, {fleet.engines} engines, "
-        f"{told.rate:.0f} requests a second, faults {faults}"
+        f"{loaded_plan.title}: {loaded_plan.length:g} s, {fleet.sidecars} sidecars, {fleet.engines} engines, "
+        f"{loaded_plan.rate:.0f} requests a second, faults {faults}"
     )
 
 
@@ -118,23 +118,27 @@
     as_json: AsJson = False,
 ) -> None:
     """Play a plan once. Exit code 1 if a rule was broken, 4 if the testbed was too slow."""
-    told = load(plan)
+    loaded_plan = load(plan)
     if revision:
-        told = told._replace(fleet=msgspec.structs.replace(told.fleet, revision=revision))
+        loaded_plan = loaded_plan._replace(
+            fleet=msgspec.structs.replace(loaded_plan.fleet, revision=revision)
+        )
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
     silent = quiet or as_json
-    programs = programs_for(command, told.fleet.sidecars) if command else None
+    programs = programs_for(command, loaded_plan.fleet.sidecars) if command else None
     play = PlanRun(
-        told, seed, (lambda second: None) if silent else _print_second, folder=keep, programs=programs
+        loaded_plan, seed, (lambda second: None) if silent else _print_second, folder=keep, programs=programs
     )
     number = 0
     try:
         result = uvloop.run(_play(play))
         if store is not None:
             with Store(store) as kept:
-                number = kept.add(told.source, result, play.seconds, play.environment.history, play.logs)
-    except (RigError, OSError) as problem:
+                number = kept.add(
+                    loaded_plan.source, result, play.seconds, play.environment.history, play.logs
+                )
+    except (RunError, OSError) as problem:
         exit_with(problem)
     if as_json:
         print_json({"run": number, **msgspec.to_builtins(result)})
@@ -243,7 +247,7 @@
             Exit.INTERRUPTED,
             f"interrupted; finished runs are in {path}, and the same command continues from there",
         )
-    except RigError as problem:
+    except RunError as problem:
         exit_with(problem)
 
 
@@ -304,7 +308,7 @@
         rows = run_missing(store, wanted, jobs)
         by_name = {n: {r.result.seed: r for r in rows if r.result.revision == n} for n in names}
         found = compared(*(by_name[name] for name in names))
-    except RigError as problem:
+    except RunError as problem:
         exit_with(problem)
     if as_json:
         print_json({"first": names[0], "second": names[1], **found._asdict(), "shown": found.significant})
@@ -336,7 +340,7 @@
             if not rows:
                 fail(Exit.BAD_INPUT, f"there is no run {run or ''} in {store}")
             reports.write(kept, rows[-1], out)
-    except RigError as problem:
+    except RunError as problem:
         exit_with(problem)
     except OSError as problem:
         fail(Exit.BAD_INPUT, f"{out} cannot be written: {problem.strerror}")
@@ -354,17 +358,17 @@
     """Play a plan's nemesis for a long time, and check that memory and descriptors do not grow and that no
     rule is broken."""
     try:
-        told = soaks.stretch(load(plan), lasts)
+        loaded_plan = soaks.stretch(load(plan), lasts)
     except SettingsError as problem:
         fail(Exit.BAD_INPUT, str(problem))
-    play = PlanRun(told, seed, (lambda second: None) if as_json else _print_second)
+    play = PlanRun(loaded_plan, seed, (lambda second: None) if as_json else _print_second)
     try:
         result = uvloop.run(_play(play))
         result = msgspec.structs.replace(result, findings=[*result.findings, *soaks.judge(play.seconds)])
         if store is not None:
             with Store(store) as kept:
-                kept.add(told.source, result, play.seconds, play.environment.history, play.logs)
-    except (RigError, OSError) as problem:
+                kept.add(loaded_plan.source, result, play.seconds, play.environment.history, play.logs)
+    except (RunError, OSError) as problem:
         exit_with(problem)
     if as_json:
         print_json(msgspec.to_builtins(result))
--- a/sprucenotch/cli/service.py
+++ b/sprucenotch/cli/service.py
@@ -11,7 +11,7 @@
 
 from sprucenotch.cli.output import Exit, fail
 from sprucenotch.cli.rig import LAB, Jobs, Seeds, StoreFile, exit_with, parse_seeds, run_missing
-from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.process import RunError
 from sprucenotch.testbed.run_store import Store
 from sprucenotch.testbed.sweep import Job
 
@@ -59,7 +59,7 @@
                     f"({difference.low:+.3f} to {difference.high:+.3f}, {difference.pairs} pairs)"
                 )
         returns.draw(found, out)
-    except RigError as problem:
+    except RunError as problem:
         exit_with(problem)
     except OSError as problem:
         fail(Exit.BAD_INPUT, f"{out} cannot be written: {problem.strerror}")
--- a/sprucenotch/node/config.py
+++ b/sprucenotch/node/config.py
@@ -86,15 +86,15 @@
     clock: WrongClock | None  # for tests; None in production
     disk: TestDisk | None  # for tests; None in production
     state: State | None  # the state kept for the next process
-    told: Mapping[str, Any]  # the decoded file
+    decoded: Mapping[str, Any]  # the decoded file
 
     def check_complete(self, before: Config) -> None:
         """Raise ConfigError if this file lacks a key that the configuration in force has.
 
         Such a file is truncated or wrong; otherwise the missing key would silently get its default.
         """
-        missing = next((key for key in before.told if key not in self.told), None)
-        missing = missing or missing_key(before.told["settings"], self.told["settings"], "settings.")
+        missing = next((key for key in before.decoded if key not in self.decoded), None)
+        missing = missing or missing_key(before.decoded["settings"], self.decoded["settings"], "settings.")
         if missing is not None:
             raise ConfigError(f"{missing} is missing")
 
@@ -217,7 +217,7 @@
         clock=file.clock,
         disk=file.disk,
         state=file.state,
-        told=top,
+        decoded=top,
     )
 
 
--- a/sprucenotch/node/exchange.py
+++ b/sprucenotch/node/exchange.py
@@ -25,7 +25,7 @@
         self.answer: Answer | None = None
         self.upload: Stream | None = None
 
-    def put(self, answer: Answer) -> None:
+    def set_answer(self, answer: Answer) -> None:
         """Set the answer, and send it if it is due."""
         self.answer = answer
         if self.upload is not None:
@@ -34,11 +34,11 @@
 
     def answer_with_text(self, status: int, text: bytes, headers: Headers | None = None) -> None:
         """Answer with a status and a line of text."""
-        self.put(Answer(status, headers or [], text + b"\n"))
+        self.set_answer(Answer(status, headers or [], text + b"\n"))
 
     def serve(self, answer: Answer) -> None:
         forwarded = [h for h in answer.headers if h[0] not in UNFORWARDED_ANSWER_HEADERS]
-        self.put(Answer(200, forwarded, answer.body, answer.body_stream))
+        self.set_answer(Answer(200, forwarded, answer.body, answer.body_stream))
 
     def refuse(self, retry_after: int) -> None:
         headers = [(b"Retry-After", b"%.3f" % (retry_after / SECOND))] if retry_after else []
--- a/sprucenotch/node/host.py
+++ b/sprucenotch/node/host.py
@@ -121,15 +121,15 @@
         expires_at = now + deadline - DEADLINE_MARGIN if deadline > DEADLINE_MARGIN else now
         return expires_at if self._drain_deadline is None else min(expires_at, self._drain_deadline)
 
-    def learn(self, told: HostList, kind: int) -> None:
+    def learn(self, host_list: HostList, kind: int) -> None:
         """Apply a host list of that `api.ListKind`."""
-        self.has_endpoints = self.has_endpoints or bool(told.hosts)
+        self.has_endpoints = self.has_endpoints or bool(host_list.hosts)
         if kind != api.ListKind.CACHED:
             self._list_received.set()
-        self.upstream.update_hosts(told.hosts, whole=kind != api.ListKind.DELTA)
+        self.upstream.update_hosts(host_list.hosts, whole=kind != api.ListKind.DELTA)
         self.telemetry.set_listed_engines(self.upstream)
-        self.on_host_list(told, kind)
-        self.post(api.EndpointList(kind, tuple(host.endpoint for host in told.hosts)))
+        self.on_host_list(host_list, kind)
+        self.post(api.EndpointList(kind, tuple(host.endpoint for host in host_list.hosts)))
 
     def recall(self, learned: api.Learned, age: int) -> None:
         """Continue from what the previous process had learned `age` nanoseconds ago."""
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -228,10 +228,10 @@
         else:
             connection.close()
 
-    async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore_failure) -> Connection:
+    async def connect(self, pool: Pool, on_retry: Callable[[OSError], None] = ignore_failure) -> Connection:
         """Open a connection. It counts against the limit until it is lost, which may be before this returns.
 
-        A failure on this machine is reported to `failed` and retried. The connect timeout limits each try,
+        A failure on this machine is reported to `on_retry` and retried. The connect timeout limits each try,
         and also the time until the last one begins, so a connect may take up to twice as long. Raises
         OSError, which includes TimeoutError.
         """
@@ -257,7 +257,7 @@
             self._count("connect_failed_here")
             if shortage.count_failure(problem):
                 self.free_descriptor()
-            failed(problem)
+            on_retry(problem)
 
         self._open += 1
         self._count("handshakes")
--- a/sprucenotch/node/withdrawals.py
+++ b/sprucenotch/node/withdrawals.py
@@ -44,23 +44,23 @@
         self._version = self._newest = known.seq
         self._record_list(known, now)
 
-    def reconcile(self, told: HostList, now: int) -> HostList:
+    def reconcile(self, host_list: HostList, now: int) -> HostList:
         """Return the list to apply, without the servers that a newer list had withdrawn."""
-        if told.seq < self._version:
+        if host_list.seq < self._version:
             self._expire(now)
             self._held_back.update(self._recent)
-        self._version = told.seq
-        if told.seq >= self._newest:
-            self._newest = told.seq
+        self._version = host_list.seq
+        if host_list.seq >= self._newest:
+            self._newest = host_list.seq
             self._held_back.clear()
-        elif told.whole:
+        elif host_list.whole:
             self._held_back = {
                 server: held for server, held in self._held_back.items() if held.at >= now - RETENTION
             }
         if self._held_back:
-            told = structs.replace(told, hosts=tuple(self._suppress_returns(told)))
-        self._record_list(told, now)
-        return told
+            host_list = structs.replace(host_list, hosts=tuple(self._suppress_returns(host_list)))
+        self._record_list(host_list, now)
+        return host_list
 
     def whole_list_due(self, now: int) -> bool:
         """Whether a server has been held back for RETENTION: only a whole list can restore it."""
--- a/sprucenotch/platform/system_errors.py
+++ b/sprucenotch/platform/system_errors.py
@@ -70,12 +70,12 @@
 
 
 async def retry_local_failures(
-    call: Callable[[], Awaitable[T]], timeout: float, failed: Callable[[OSError], None] = ignore_failure
+    call: Callable[[], Awaitable[T]], timeout: float, on_retry: Callable[[OSError], None] = ignore_failure
 ) -> T:
     """Call and return the result; retry after local failures, as long as `timeout` seconds are not over.
 
     No retry is scheduled to begin later than that, but a call in progress is not interrupted, so the total
-    may be longer by the duration of the last call. `failed` is a callback for each failure that is retried.
+    may be longer by the duration of the last call. `on_retry` is a callback for each failure that is retried.
     Raises the last failure, and at once a failure that is not local.
     """
     deadline = get_running_loop().time() + timeout
@@ -85,7 +85,7 @@
         except OSError as problem:
             if not is_local(problem) or get_running_loop().time() + pause > deadline:
                 raise
-            failed(problem)
+            on_retry(problem)
         await sleep(pause)
     raise AssertionError("unreachable: the sequence of delays is endless")
 
--- a/sprucenotch/testbed/capacity.py
+++ b/sprucenotch/testbed/capacity.py
@@ -13,7 +13,7 @@
 from sprucenotch.node.config import MIN_MEMORY_MB
 from sprucenotch.testbed.faults import Restart
 from sprucenotch.testbed.plan import Plan, matching_processes
-from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.process import RunError
 
 MEGABYTE = 1_000_000
 # Of the available memory. The rest is for the testbed itself, which holds the history of all requests, and
@@ -23,7 +23,7 @@
 SIDECAR_SOCKETS = 4  # of the testbed for each sidecar: three reserved ports and a listener of discovery
 
 
-class CapacityError(RigError):
+class CapacityError(RunError):
     """The plan needs more than this machine has."""
 
 
--- a/sprucenotch/testbed/compare.py
+++ b/sprucenotch/testbed/compare.py
@@ -8,7 +8,7 @@
 import numpy as np
 from scipy import stats  # type: ignore[import-untyped]
 
-from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.process import RunError
 from sprucenotch.testbed.run_store import Row
 
 CONFIDENCE = 0.95
@@ -30,10 +30,10 @@
 
 
 def compare(first: dict[int, Row], second: dict[int, Row]) -> Comparison:
-    """The paired differences in worth, second minus first. Raises RigError with fewer than three pairs."""
+    """The paired differences in worth, second minus first. Raises RunError with fewer than three pairs."""
     seeds = sorted(first.keys() & second.keys())
     if len(seeds) < 3:
-        raise RigError(
+        raise RunError(
             f"{len(seeds)} valid paired runs are too few for an interval; at least three are needed"
         )
     return interval([second[s].result.summary.worth - first[s].result.summary.worth for s in seeds])
--- a/sprucenotch/testbed/environment.py
+++ b/sprucenotch/testbed/environment.py
@@ -24,7 +24,7 @@
 from sprucenotch.testbed.faults import ClockStep, OnProcesses, Pause, SlowCpu, SystemCalls
 from sprucenotch.testbed.network import Network
 from sprucenotch.testbed.plan import SECOND, Plan, matching_processes, process_zones
-from sprucenotch.testbed.process import ChildProcess, RigError, raise_descriptor_limit
+from sprucenotch.testbed.process import ChildProcess, RunError, raise_descriptor_limit
 from sprucenotch.testbed.revision import Program, Programs
 from sprucenotch.testbed.sidecar import Sidecar
 from sprucenotch.testbed.state_folders import StateFolders
@@ -182,13 +182,13 @@
         return self.network.dial("client", sidecar, self.sidecars[sidecar].listen)
 
     def child(self, name: str) -> ChildProcess:
-        """Return the process of that name. Raises RigError if it has none of its own, or is not running."""
+        """Return the process of that name. Raises RunError if it has none of its own, or is not running."""
         if name in self.sidecars:
             return self.sidecars[name].process
         server = self.engines.get(name, self.discovery)
         if isinstance(server, RemoteEngine | RemoteDiscovery) and server.remote.child is not None:
             return server.remote.child
-        raise RigError(f"{name} is not running as a separate process")
+        raise RunError(f"{name} is not running as a separate process")
 
     async def publish(self, place: str, health: str = "up", born_ms: int = 0) -> None:
         """Publish an engine in discovery with this health and start time."""
@@ -312,9 +312,9 @@
         for sidecar in self.sidecars.values():
             sidecar.close()
         for running in self.engines.values():
-            with contextlib.suppress(RigError):
+            with contextlib.suppress(RunError):
                 await running.stop()
-        with contextlib.suppress(RigError):
+        with contextlib.suppress(RunError):
             if isinstance(self.discovery, RemoteDiscovery):
                 await self.discovery.remote.kill()
             else:
--- a/sprucenotch/testbed/injection.py
+++ b/sprucenotch/testbed/injection.py
@@ -19,7 +19,7 @@
 from sprucenotch.testbed.misbehaving_clients import MisbehavingClients
 from sprucenotch.testbed.net.link import Link, LinkFault
 from sprucenotch.testbed.plan import SECOND, matching_links, matching_processes
-from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.process import RunError
 from sprucenotch.testbed.sidecar import restart
 from sprucenotch.testbed.syscalls import SHORT, Call, Rule
 
@@ -47,7 +47,7 @@
         self._surges: dict[int, float] = {}
 
     async def begin(self, fault: Fault) -> int:
-        """Inject a fault and return its number; wait for a self-ending one. Raises RigError."""
+        """Inject a fault and return its number; wait for a self-ending one. Raises RunError."""
         self._number += 1
         number, do = self._number, str(fault.__struct_config__.tag)
         rng = random.Random(f"{self.environment.seed} {number}")
@@ -201,7 +201,7 @@
     """Affect the processes that run now, not those started later under the same names."""
     children = []
     for name in targets:
-        with contextlib.suppress(RigError):
+        with contextlib.suppress(RunError):
             children.append(environment.child(name))
     for child in children:
         begin(child)
--- a/sprucenotch/testbed/process.py
+++ b/sprucenotch/testbed/process.py
@@ -30,11 +30,11 @@
 MAX_ADDRESS_SPACE = 2_000_000_000  # bytes, so that a faulty process cannot exhaust the machine's memory
 
 
-class RigError(Exception):
+class RunError(Exception):
     """The testbed cannot continue; the message gives the reason in one line."""
 
 
-class ProcessError(RigError):
+class ProcessError(RunError):
     """A process of the run ended unexpectedly or did not become ready."""
 
 
@@ -170,8 +170,8 @@
     def memory(self) -> tuple[int, int]:
         """Resident memory in bytes: total, and not shared with other processes."""
         _, resident, shared, *_ = map(int, Path(f"/proc/{self.pid}/statm").read_text().split())
-        page = os.sysconf("SC_PAGE_SIZE")
-        return resident * page, (resident - shared) * page
+        page_size = os.sysconf("SC_PAGE_SIZE")
+        return resident * page_size, (resident - shared) * page_size
 
     def end(self) -> None:
         """Stop it with SIGTERM (after SIGCONT, as a stopped process cannot act on it), then with SIGKILL."""
--- a/sprucenotch/testbed/revision.py
+++ b/sprucenotch/testbed/revision.py
@@ -14,12 +14,12 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.process import RunError
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 
 
-class RevisionError(RigError):
+class RevisionError(RunError):
     """The revision is unknown, or there is no repository."""
 
 
--- a/sprucenotch/testbed/run_store.py
+++ b/sprucenotch/testbed/run_store.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 from sprucenotch.testbed.checker.history import Event
-from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.process import RunError
 from sprucenotch.testbed.runner import Result, SecondStats
 
 LOCK_TIMEOUT = 60.0  # seconds to wait while another process writes to the file
@@ -33,7 +33,7 @@
 """
 
 
-class StoreError(RigError):
+class StoreError(RunError):
     """The store cannot be read or written; its content is intact."""
 
 
--- a/sprucenotch/testbed/runner.py
+++ b/sprucenotch/testbed/runner.py
@@ -24,7 +24,7 @@
 from sprucenotch.testbed.injection import FaultInjector
 from sprucenotch.testbed.load import Load
 from sprucenotch.testbed.plan import SECOND, Plan, Step
-from sprucenotch.testbed.process import ProcessError, RigError, http_get
+from sprucenotch.testbed.process import ProcessError, RunError, http_get
 from sprucenotch.testbed.revision import Program
 from sprucenotch.testbed.summary import Summary, summarize
 
@@ -110,7 +110,7 @@
         self._recent[ended.kind.name, ended.outcome] += 1
 
     async def run(self) -> Result:
-        """Run the whole plan. Raises RigError if a process does not start, or ends unexpectedly.
+        """Run the whole plan. Raises RunError if a process does not start, or ends unexpectedly.
 
         All processes have ended when this returns or raises.
         """
@@ -168,7 +168,7 @@
         """Run all steps; of several failures at once, raise the first."""
         try:
             await self._inject_steps()
-        except* RigError as problems:
+        except* RunError as problems:
             raise problems.exceptions[0] from None
 
     async def _inject_steps(self) -> None:
@@ -279,7 +279,7 @@
         )  # fmt: skip
 
 
-class Stopped(RigError):
+class Stopped(RunError):
     """The run was interrupted."""
 
 
--- a/sprucenotch/testbed/sidecar.py
+++ b/sprucenotch/testbed/sidecar.py
@@ -11,14 +11,14 @@
 from typing import Any, Literal
 
 from sprucenotch.testbed.checker.history import Event, Process
-from sprucenotch.testbed.process import ProcessError, RigError, SidecarProcess
+from sprucenotch.testbed.process import ProcessError, RunError, SidecarProcess
 from sprucenotch.testbed.revision import Program
 
 ADDRESS_IN_USE = 3  # exit code of a sidecar that cannot listen
 KILL_AFTER = 0.7  # seconds from the longest deadline (at least 3 s) to SIGKILL
 
 
-class AddressError(RigError):
+class AddressError(RunError):
     """A port reserved for a sidecar is in use."""
 
 
--- a/sprucenotch/testbed/syscalls.py
+++ b/sprucenotch/testbed/syscalls.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from sprucenotch.testbed.process import RigError
+from sprucenotch.testbed.process import RunError
 
 SOURCE = Path(__file__).with_name("syscalls.c")
 SPARE_LOG = "SPRUCENOTCH_SPARE_LOG"  # environment variable: writes to standard error never fail
@@ -58,7 +58,7 @@
         return f"{self.call.name.lower()} {name} one of {self.every}"
 
 
-class NoCompiler(RigError):
+class NoCompiler(RunError):
     """The library cannot be compiled on this machine."""
 
 
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -72,15 +72,15 @@
 
 
 def answers_late() -> None:
-    put = Exchange.put
+    set_answer = Exchange.set_answer
 
     def planted(self: Exchange, answer: Answer) -> None:
         if self.id and is_faulty_call():
-            asyncio.get_running_loop().call_later(ANSWER_DELAY, put, self, answer)
+            asyncio.get_running_loop().call_later(ANSWER_DELAY, set_answer, self, answer)
         else:
-            put(self, answer)
+            set_answer(self, answer)
 
-    Exchange.put = planted  # type: ignore[method-assign]
+    Exchange.set_answer = planted  # type: ignore[method-assign]
 
 
 def makes_answers_up() -> None:
--- a/tests/planted_hunt.py
+++ b/tests/planted_hunt.py
@@ -60,7 +60,7 @@
 def blame_server_for_local_failures() -> None:
     """C: a connection attempt that fails locally is not retried, and counts as a failure of the server."""
 
-    async def planted(call: Callable[[], Awaitable[T]], timeout: float, failed: Any = None) -> T:
+    async def planted(call: Callable[[], Awaitable[T]], timeout: float, on_retry: Any = None) -> T:
         return await call()
 
     vars(upstream)["retry_local_failures"] = planted
@@ -99,7 +99,7 @@
 
 
 def accept_older_lists() -> None:
-    Withdrawals.reconcile = lambda self, told, now: told  # type: ignore[method-assign]
+    Withdrawals.reconcile = lambda self, host_list, now: host_list  # type: ignore[method-assign]
 
 
 def send_for_clients_that_left() -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -55,8 +55,8 @@
         self._connect = node.host.upstream.connect
         node.host.upstream.connect = self.connect  # type: ignore[method-assign]
 
-    async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore_failure) -> Connection:
-        connection = await self._connect(pool, failed)
+    async def connect(self, pool: Pool, on_retry: Callable[[OSError], None] = ignore_failure) -> Connection:
+        connection = await self._connect(pool, on_retry)
         self.coming.set()
         await self.release.wait()
         return connection
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -16,7 +16,7 @@
 from sprucenotch.cli.rig import SCENARIOS, load
 from sprucenotch.testbed import plan, report, soak
 from sprucenotch.testbed.compare import compare
-from sprucenotch.testbed.process import ProcessError, RigError
+from sprucenotch.testbed.process import ProcessError, RunError
 from sprucenotch.testbed.revision import ROOT, Program
 from sprucenotch.testbed.run_store import Row, Store, StoreError
 from sprucenotch.testbed.runner import PlanRun, Result, SecondStats
@@ -95,7 +95,7 @@
     same = compare(first, rows([0.8 + n for n in reversed(noise)]))
     assert worse.significant and worse.low <= worse.difference <= worse.high < 0
     assert not same.significant and same.pairs == 8
-    with pytest.raises(RigError, match="too few"):
+    with pytest.raises(RunError, match="too few"):
         compare(first, rows([0.8]))
 
 
@@ -117,7 +117,7 @@
     ],
 )
 def test_run_with_a_sidecar_that_exits_at_start_raises_its_error(
-    exit_argument: str, error: type[RigError], message: str
+    exit_argument: str, error: type[RunError], message: str
 ) -> None:
     programs = {"sidecar-0": Program((sys.executable, "-c", f"raise SystemExit({exit_argument})"))}
     with pytest.raises(error, match=message):
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -223,10 +223,10 @@
         ):
             learn, faults = node.host.learn, [1, 2]
 
-            def planted(told: config.HostList, kind: int) -> None:
+            def planted(host_list: config.HostList, kind: int) -> None:
                 if faults:
                     raise KeyError(faults.pop())
-                learn(told, kind)
+                learn(host_list, kind)
 
             node.host.learn = planted  # type: ignore[method-assign]
             node.discovery.watch(True)
