--- a/sprucenotch/node/discovery.py
+++ b/sprucenotch/node/discovery.py
@@ -35,7 +35,7 @@
 HOLD_TIMEOUT_MARGIN = 0.5
 SILENT_WATCH_DEADLINE = 2.0
 CONNECT_TIMEOUT = 1.0  # to open a connection, independent of the timeout of the call
-# In the pushed mode the sidecar is held to what its local agent knows, even while a call to the agent hangs.
+# In the pushed mode the sidecar must act on what its local agent knows, even while a call to the agent hangs.
 # A hung call must therefore time out, and the next one begin, within the drain grace. Calls to the agent are
 # cheap.
 AGENT_HOLD, AGENT_HOLD_TIMEOUT_MARGIN = 0.25, 0.2
--- a/sprucenotch/node/exchange.py
+++ b/sprucenotch/node/exchange.py
@@ -20,7 +20,7 @@
     ) -> None:
         self._flush, self.connected = flush, connected
         self.closes_connection = closes_connection  # whether the connection ends after its answer
-        self.http10 = http10  # has no chunked coding, and closes the connection unless told otherwise
+        self.http10 = http10  # has no chunked coding, and closes the connection unless keep-alive is stated
         self.id = 0  # in the ledger; 0: not in the ledger
         self.answer: Answer | None = None
         self.upload: Stream | None = None
--- a/sprucenotch/node/frontend.py
+++ b/sprucenotch/node/frontend.py
@@ -638,9 +638,10 @@
         return [c for c in self._connections if not c.closing]
 
     def _closable(self, open_connections: list[ClientConnection]) -> Iterator[ClientConnection]:
-        """Connections that may be closed, best first. A used one loses nothing: a request that crosses its
-        close is sent again by the client. Idle ones follow. One whose first request has arrived in part
-        is never closed for this; `RequestTimeLimit` ends the wait for a request that stays incomplete."""
+        """Connections that may be closed, best first. Closing a used one loses nothing: a request that
+        crosses the close is sent again by the client. Idle ones follow. One whose first request has arrived
+        in part is never closed for this; `RequestTimeLimit` ends the wait for a request that stays
+        incomplete."""
         done = (c for c in open_connections if c.used_and_idle)
         idle = (c for c in open_connections if c.idle and not c.has_unread_request)
         return itertools.chain(done, idle)
--- a/sprucenotch/node/head.py
+++ b/sprucenotch/node/head.py
@@ -11,7 +11,7 @@
 from sprucenotch.node.connection import Headers
 from sprucenotch.node.ledger import Incoming
 
-# Headers that concern a single connection or are generated anew.
+# Headers that concern a single connection or are regenerated.
 HOP_BY_HOP = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
--- a/sprucenotch/node/host.py
+++ b/sprucenotch/node/host.py
@@ -112,7 +112,7 @@
         self.post(api.Retuned(config.settings))
 
     def drain(self) -> None:
-        """Start the drain: the process was told to stop and will be killed."""
+        """Start the drain: the process has been asked to stop and will be killed."""
         longest = max(cls.limit for cls in self._settings.classes)
         self._drain_deadline = self.now() + min(longest, MAX_DRAIN_DEADLINE) + DRAIN_KILL_GRACE - DRAIN_MARGIN
 
@@ -250,7 +250,7 @@
 
     def client_gone(self, rid: int) -> None:
         """Handle a client that left. An attempt whose request has been sent completely goes on: ending it
-        would only cost a connection. One that waits for a connection ends once that is up, so that others
+        would only cost a connection. One that waits for a connection ends once that is open, so that others
         can use it (`OpenRequest.may_send`); one that is partly sent ends at once, so that the server never
         runs it."""
         if (request := self._mark_answered(rid)) is not None:
--- a/sprucenotch/node/poller.py
+++ b/sprucenotch/node/poller.py
@@ -43,8 +43,8 @@
             self._poller.apply(self)
 
     def end(self) -> None:
-        """Stop reporting. The caller closes the descriptor, or watches it anew, right after: closing also
-        removes it from the kernel's epoll set."""
+        """Stop reporting. The caller then immediately closes the descriptor or registers it again: closing
+        also removes it from the kernel's epoll set."""
         self.event_mask = 0
         self.ready = _ignore  # breaks the reference cycle
         self._poller.forget(self)
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -23,8 +23,8 @@
 
 # Nanoseconds for which a connection is not reused after an answer. A faulty engine may answer twice, the
 # second time 1 to 4 ms late. HTTP/1.1 answers carry no request id, so on a connection that is already reused
-# the second answer would be delivered to the client of the next request. The delay applies whatever the
-# duration of the answer: of 8,318 sends on kept connections, 370 came within this time of the previous
+# the second answer would be delivered to the client of the next request. The delay does not depend on
+# the duration of the answer: of 8,318 sends on kept connections, 370 came within this time of the previous
 # answer. An attempt waits at most once, for REUSE_DELAY_NS and MAX_TIMER_EARLY_S.
 REUSE_DELAY_NS = 6_000_000
 # Seconds by which a timer of the event loop may fire early. The loop counts whole milliseconds: it starts at
--- a/sprucenotch/policy/balance.py
+++ b/sprucenotch/policy/balance.py
@@ -346,7 +346,7 @@
             (total, count), aim = class_state.latency, class_state.cls.aim
             if count >= min_samples:
                 class_state.mean = mean = total / count * aim
-                # A mean of few answers may be too low, and so its minimum: hence pooled over some seconds.
+                # A mean of few answers may be too low, and its minimum with it, so some seconds are pooled.
                 class_state.base = min(
                     mean,
                     class_state.base * BASE_LATENCY_GROWTH or aim * DEFAULT_BASE_LATENCY,
--- a/sprucenotch/testbed/checker/recovery_checks.py
+++ b/sprucenotch/testbed/checker/recovery_checks.py
@@ -1,9 +1,9 @@
 """Checks the state that a restarted sidecar restores: no loss beyond the guarantee, no invented version, and
-no list that claims to be younger than it is.
+no list whose recorded age is too low.
 
-The guarantee: what discovery told a process survives the end of the process `STORED_WITHIN` seconds later,
-and a power cut `SYNCED_WITHIN` seconds after that. A list is at least as old as the end of the last process
-that could confirm it.
+The guarantee: a list that discovery sent to a process survives the end of the process `STORED_WITHIN`
+seconds later, and a power cut `SYNCED_WITHIN` seconds after that. A list is at least as old as the end of the
+last process that could confirm it.
 """
 
 from __future__ import annotations
--- a/sprucenotch/testbed/injection.py
+++ b/sprucenotch/testbed/injection.py
@@ -226,7 +226,7 @@
 
 
 def _system_calls(environment: Environment, fault: faults.SystemCalls, targets: Sequence[str]) -> ActiveFault:
-    """Findings are not excused meanwhile: all guarantees hold in spite of these failures."""
+    """Make system calls fail. No findings are excused: all guarantees hold in spite of these failures."""
     call = Call[fault.call.upper()]
     error = SHORT if fault.error == "short" else int(getattr(errno, fault.error))
     for name in targets:
--- a/sprucenotch/testbed/misbehaving_clients.py
+++ b/sprucenotch/testbed/misbehaving_clients.py
@@ -131,7 +131,7 @@
     ) -> None:
         """Send a request, wait at random up to MAX_STAY, and close the connection without reading the answer.
 
-        At random it is aborted, which drops unsent data, or closed after that is sent. Neither asks for a
+        It is aborted, which drops unsent data, or closed after that is sent, at random. Neither requests a
         reset: as so short a request is usually sent by then, the sidecar sees an end of input from both. An
         answer that has already arrived is not read. Records Left, but no Sent.
         """
--- a/sprucenotch/testbed/sidecar.py
+++ b/sprucenotch/testbed/sidecar.py
@@ -132,7 +132,7 @@
             self.process.kill()
 
     def lost_power(self) -> None:
-        """Record that whatever its last process had not synced is lost."""
+        """Record a power cut: all data that the last process had not synced is lost."""
         self._record("lost power", self.life)
 
     async def term(self) -> None:
--- a/tests/sidecar.py
+++ b/tests/sidecar.py
@@ -159,8 +159,8 @@
 class Sidecar:
     """A sidecar in the test's event loop, which records the events that its balancer gets."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.config = config.parse(json.loads(json.dumps(told)))
+    def __init__(self, raw: dict[str, Any]) -> None:
+        self.config = config.parse(json.loads(json.dumps(raw)))
         self.events: list[api.Event] = []
         self.changed = asyncio.Event()
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -41,18 +41,18 @@
 class Process:
     """The program as a process, and its open descriptors."""
 
-    def __init__(self, child: asyncio.subprocess.Process, told: config.Config) -> None:
-        self.child, self.told = child, told
+    def __init__(self, child: asyncio.subprocess.Process, parsed: config.Config) -> None:
+        self.child, self.parsed = child, parsed
 
     def descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.child.pid}/fd"))
 
     def total_share(self) -> int:
-        told = self.told
+        parsed = self.parsed
         return (
-            told.max_clients
-            + told.max_upstream_connections
-            + told.max_management_connections
+            parsed.max_clients
+            + parsed.max_upstream_connections
+            + parsed.max_management_connections
             + config.OWN_DESCRIPTORS
         )
 
@@ -170,16 +170,16 @@
                 limits={"sockets": sockets, "memory_mb": 1024},
             ) as program,
         ):
-            told = program.told
-            listen = f"{told.listen[0]}:{told.listen[1]}"
+            parsed = program.parsed
+            listen = f"{parsed.listen[0]}:{parsed.listen[1]}"
             assert (await (await connected(listen)).ask(UP))[0] == 200
             program.allow(program.total_share())
-            await send_pending_requests(served, out, listen, told.max_upstream_connections)
-            crowd, callers = Crowd(told.listen), Crowd(told.mgmt or told.listen)
+            await send_pending_requests(served, out, listen, parsed.max_upstream_connections)
+            crowd, callers = Crowd(parsed.listen), Crowd(parsed.mgmt or parsed.listen)
             # Stopped and continued, the program finds all of them in a single loop iteration.
             program.child.send_signal(signal.SIGSTOP)
-            crowd.open(told.max_clients)
-            callers.open(2 * told.max_management_connections)
+            crowd.open(parsed.max_clients)
+            callers.open(2 * parsed.max_management_connections)
             program.child.send_signal(signal.SIGCONT)
             full = program.total_share() - config.OWN_DESCRIPTORS
             await program.until(lambda: program.descriptors() >= full)
@@ -200,7 +200,7 @@
             # All engine connections are in use, so the request is refused unsent.
             assert (await client.ask(request()))[0] == 503
             go_on.set()
-            assert [(await held.answer())[0] for held in out] == [200] * told.max_upstream_connections
+            assert [(await held.answer())[0] for held in out] == [200] * parsed.max_upstream_connections
             crowd.open_again()
             # The balancer may refuse for a while, as it saw no answers.
             while (await (await connected(listen)).ask(request()))[0] == 503:
@@ -231,11 +231,11 @@
                 limits={"sockets": 256, "memory_mb": 1024},
             ) as program,
         ):
-            told = program.told
-            listen = f"{told.listen[0]}:{told.listen[1]}"
+            parsed = program.parsed
+            listen = f"{parsed.listen[0]}:{parsed.listen[1]}"
             assert (await (await connected(listen)).ask(UP))[0] == 200
             program.allow(program.descriptors() + 3)
-            crowd = Crowd(told.listen)
+            crowd = Crowd(parsed.listen)
             crowd.open(40)
             client = await connected(listen)
             assert (await client.ask(request()))[0] == 200
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -164,8 +164,8 @@
 
 
 async def figures(address: str) -> dict[str, Any]:
-    told: dict[str, Any] = json.loads((await raw_answer(address, TELEMETRY)).partition(b"\r\n\r\n")[2])
-    return told
+    figures: dict[str, Any] = json.loads((await raw_answer(address, TELEMETRY)).partition(b"\r\n\r\n")[2])
+    return figures
 
 
 def test_reload_with_temporarily_unreadable_file_is_applied_later(tmp_path: Path) -> None:
@@ -219,14 +219,14 @@
 
     async def test() -> None:
         async with endpoint(always_ok) as served, endpoint(nothing_new) as discovery:
-            told = configuration(served.dial, listen=dead_dial(), discovery=discovery.dial)
+            raw = configuration(served.dial, listen=dead_dial(), discovery=discovery.dial)
             file = tmp_path / "config.json"
-            file.write_text(json.dumps(told))
+            file.write_text(json.dumps(raw))
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh", "-c", words, env=os.environ | {"PROXY_CONFIG": str(file)}, cwd=ROOT
             )
             try:
-                ready = asyncio.ensure_future(answers(told["listen"]))
+                ready = asyncio.ensure_future(answers(raw["listen"]))
                 await asyncio.sleep(0.02)  # the shell has run its first command, trap
                 while not ready.done() and process.returncode is None:
                     process.send_signal(signal.SIGHUP)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -77,15 +77,15 @@
 
 
 def test_httptools_reports_keep_alive_only_inside_its_callback() -> None:
-    told: list[bool] = []
+    keep_alive: list[bool] = []
 
     class Callbacks:
         def on_message_complete(self) -> None:
-            told.append(parser.should_keep_alive())
+            keep_alive.append(parser.should_keep_alive())
 
     parser = httptools.HttpResponseParser(Callbacks())
     parser.feed_data(ok())
-    assert told == [True] and not parser.should_keep_alive()
+    assert keep_alive == [True] and not parser.should_keep_alive()
 
 
 def test_connection_closed_by_the_peer_is_not_reused() -> None:
@@ -225,8 +225,8 @@
             attempt = node.host.upstream.attempt(config.endpoint_id("s-0"), request, done)
             assert attempt is not None
             attempt.start()
-            told = {"seq": 2, "whole": False, "hosts": [entry("s-0", served.dial, "draining")]}
-            node.host.learn(config.host_list(told, node.config.names), api.ListKind.DELTA)
+            update = {"seq": 2, "whole": False, "hosts": [entry("s-0", served.dial, "draining")]}
+            node.host.learn(config.host_list(update, node.config.names), api.ListKind.DELTA)
             await ended.wait()
             assert outcomes == [Outcome.CONNECT_FAILED] and served.seen == []
             assert node.host.upstream.attempt(config.endpoint_id("s-0"), request, done) is None
@@ -364,8 +364,8 @@
         async with sidecar() as node:
             client = await node.client()
             assert (await client.ask(up))[0] == 503
-            told = {"seq": 2, "whole": True, "hosts": [entry("s-0", dead_dial())]}
-            node.host.learn(config.host_list(told, node.config.names), api.ListKind.FULL)
+            update = {"seq": 2, "whole": True, "hosts": [entry("s-0", dead_dial())]}
+            node.host.learn(config.host_list(update, node.config.names), api.ListKind.FULL)
             assert (await client.ask(up))[0] == 200
 
     run(test())
@@ -398,9 +398,9 @@
     async def test() -> None:
         async with endpoint(always_ok) as served:
             now = [SECOND]
-            told = config.parse(configuration(served.dial))
-            upstream = Upstream(told, asyncio.get_running_loop(), lambda: now[0], lambda name: None)
-            upstream.update_hosts(told.known.hosts, whole=True)
+            parsed = config.parse(configuration(served.dial))
+            upstream = Upstream(parsed, asyncio.get_running_loop(), lambda: now[0], lambda name: None)
+            upstream.update_hosts(parsed.known.hosts, whole=True)
             [pool] = upstream._pools.values()
             burst = [await upstream.connect(pool) for _ in range(3)]
             for connection in burst:
@@ -413,7 +413,7 @@
             assert upstream.take_idle(pool) is burst[2]
             upstream.release(pool, burst[2])
             assert pool.idle == [burst[2]] and not burst[0].usable()
-            now[0] += told.idle_limit  # the endpoint may close it at any moment: must not be used
+            now[0] += parsed.idle_limit  # the endpoint may close it at any moment: must not be used
             assert upstream.take_idle(pool) is None
 
     run(test())
@@ -434,10 +434,10 @@
 
     async def test() -> None:
         async with endpoint(always_ok) as served:
-            told = config.parse(configuration(served.dial))
+            parsed = config.parse(configuration(served.dial))
             loop = asyncio.get_running_loop()
-            made = Upstream(told, loop, lambda: SECOND, lambda name: None)
-            made.update_hosts(told.known.hosts, whole=True)
+            made = Upstream(parsed, loop, lambda: SECOND, lambda name: None)
+            made.update_hosts(parsed.known.hosts, whole=True)
             [pool] = made._pools.values()
             connection = await made.connect(pool)
             assert made._open == 0 and not connection.usable()
@@ -511,8 +511,8 @@
             sidecar(served.dial, limits={"sockets": 2}) as node,
         ):
             upstream = node.host.upstream
-            told = {"seq": 2, "whole": False, "hosts": [entry("s-1", other.dial)]}
-            node.host.learn(config.host_list(told, node.config.names), api.ListKind.DELTA)
+            update = {"seq": 2, "whole": False, "hosts": [entry("s-1", other.dial)]}
+            node.host.learn(config.host_list(update, node.config.names), api.ListKind.DELTA)
             outcomes: asyncio.Queue[int] = asyncio.Queue()
 
             def start(name: str) -> None:
@@ -721,10 +721,10 @@
     async def test() -> None:
         async with endpoint(script) as served, sidecar("127.0.0.1:9", discovery=served.dial) as node:
             node.discovery.start()
-            told = await node.event(
+            endpoint_list = await node.event(
                 lambda e: isinstance(e, api.EndpointList) and e.kind == api.ListKind.DELTA
             )
-            assert [one.health for one in told.endpoints] == [api.Health.DRAINING]
+            assert [one.health for one in endpoint_list.endpoints] == [api.Health.DRAINING]
             heard.set()
             while len(served.seen) < 4:
                 served.arrived.clear()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -187,8 +187,10 @@
 def established(connection: Connection) -> bool:
     """Whether the kernel reports the TCP state ESTABLISHED: neither side has shut down."""
     assert connection._transport is not None
-    told = connection._transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
-    return bool(told[0] == 1)
+    tcp_info = connection._transport.get_extra_info("socket").getsockopt(
+        socket.IPPROTO_TCP, socket.TCP_INFO, 1
+    )
+    return bool(tcp_info[0] == 1)
 
 
 async def answers_nonsense(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -37,8 +37,9 @@
     config: api.Settings
     balancer: Balancer
     now: int = START
-    owed: dict[int, OpenRequest] = field(default_factory=dict)
-    told: dict[bytes, tuple[int, int]] = field(default_factory=dict)  # health, and when it last changed
+    open_requests: dict[int, OpenRequest] = field(default_factory=dict)
+    # Health, and when it last changed.
+    health_since: dict[bytes, tuple[int, int]] = field(default_factory=dict)
     where: dict[bytes, api.Endpoint] = field(default_factory=dict)
     answered: int = 0
     probes: list[bytes] = field(default_factory=list)  # without an answer yet
@@ -49,20 +50,20 @@
             if isinstance(action, api.Send):
                 self.check_send(action)
             elif isinstance(action, api.Refuse):
-                owed = self.owed.pop(action.id)  # a second final answer would raise here
-                assert owed.out is None
-                if owed.ran:
-                    cls = self.config.classes[owed.cls]
+                request = self.open_requests.pop(action.id)  # a second final answer would raise here
+                assert request.out is None
+                if request.ran:
+                    cls = self.config.classes[request.cls]
                     assert cls.effect == Effect.SAFE or (
                         cls.effect == Effect.KEYED and cls.scope == Scope.ALL
                     )
                 self.answered += 1
             elif isinstance(action, api.Fail):
-                assert self.owed.pop(action.id).out is None
+                assert self.open_requests.pop(action.id).out is None
                 self.answered += 1
             elif isinstance(action, api.Probe):
                 assert self.config.probes and action.endpoint not in self.probes
-                health, since = self.told[action.endpoint]
+                health, since = self.health_since[action.endpoint]
                 assert health == Health.READY or self.now - since <= GRACE
                 self.probes.append(action.endpoint)
             elif isinstance(action, api.SetTimer) and action.token:
@@ -77,44 +78,50 @@
             self.give(api.Timer(token))
 
     def check_send(self, send: api.Send) -> None:
-        owed, cls = self.owed[send.id], self.config.classes[self.owed[send.id].cls]
-        assert owed.out is None, "two attempts out"
-        assert owed.attempts < self.config.max_attempts
-        health, since = self.told[send.endpoint]
+        request, cls = self.open_requests[send.id], self.config.classes[self.open_requests[send.id].cls]
+        assert request.out is None, "two attempts out"
+        assert request.attempts < self.config.max_attempts
+        health, since = self.health_since[send.endpoint]
         assert health == Health.READY or self.now - since <= GRACE
-        if owed.ran and cls.effect != Effect.SAFE:
+        if request.ran and cls.effect != Effect.SAFE:
             assert cls.effect == Effect.KEYED
-            first, when = self.where[owed.ran[0]], owed.ran[1]
+            first, when = self.where[request.ran[0]], request.ran[1]
             assert self.now - when < cls.window
             other = self.where[send.endpoint]
             if cls.scope != Scope.ALL:
                 assert first.zone == other.zone
             if cls.scope == Scope.CELL:
                 assert first.cell == other.cell
-        owed.out, owed.sent, owed.attempts = send.endpoint, self.now, owed.attempts + 1
+        request.out, request.sent, request.attempts = send.endpoint, self.now, request.attempts + 1
 
     def complete(self, rid: int, outcome: int) -> None:
-        owed = self.owed[rid]
-        assert owed.out is not None
-        if outcome not in NEVER_RAN and owed.ran is None:
-            owed.ran = (owed.out, owed.sent)
+        request = self.open_requests[rid]
+        assert request.out is not None
+        if outcome not in NEVER_RAN and request.ran is None:
+            request.ran = (request.out, request.sent)
         event = api.Completed(
-            rid, owed.attempts - 1, owed.out, outcome, self.now - owed.sent, outcome == Outcome.OK, ()
+            rid,
+            request.attempts - 1,
+            request.out,
+            outcome,
+            self.now - request.sent,
+            outcome == Outcome.OK,
+            (),
         )
-        owed.out = None
+        request.out = None
         if outcome == Outcome.OK:
-            del self.owed[rid]
+            del self.open_requests[rid]
         self.give(event)
 
     def give_list(self, kind: int, entries: list[api.Endpoint]) -> None:
         for entry in entries:
-            if entry.health != self.told.get(entry.id, (None, 0))[0]:
-                self.told[entry.id] = (entry.health, self.now)
+            if entry.health != self.health_since.get(entry.id, (None, 0))[0]:
+                self.health_since[entry.id] = (entry.health, self.now)
             self.where[entry.id] = entry
         if kind != api.ListKind.DELTA:
-            for missing in set(self.told) - {e.id for e in entries}:
-                if self.told[missing][0] != Health.GONE:
-                    self.told[missing] = (Health.GONE, self.now)
+            for missing in set(self.health_since) - {e.id for e in entries}:
+                if self.health_since[missing][0] != Health.GONE:
+                    self.health_since[missing] = (Health.GONE, self.now)
         self.give(api.EndpointList(kind, tuple(entries)))
 
     def probed(self, which: int, outcome: int) -> None:
@@ -123,18 +130,18 @@
 
     def stop(self) -> None:
         """Kill and restart the sidecar: its pending requests are lost."""
-        self.owed, self.told, self.probes, self.timers = {}, {}, [], []
+        self.open_requests, self.health_since, self.probes, self.timers = {}, {}, [], []
         self.balancer = Balancer(self.config, 5)
         self.give(api.Attached())
         self.give_list(api.ListKind.CACHED, list(self.where.values()))
 
     def expire(self) -> None:
         """Time out attempts whose deadline has passed, as a timeout never exceeds the client's."""
-        for rid, owed in list(self.owed.items()):
-            if owed.expires_at <= self.now and owed.out:
+        for rid, request in list(self.open_requests.items()):
+            if request.expires_at <= self.now and request.out:
                 self.complete(rid, Outcome.TIMEOUT)
-                assert rid not in self.owed, "no final answer to the time-out at the deadline"
-            elif owed.expires_at <= self.now:
+                assert rid not in self.open_requests, "no final answer to the time-out at the deadline"
+            elif request.expires_at <= self.now:
                 raise AssertionError("held unsent until its client left")
 
 
@@ -194,10 +201,10 @@
     next_id = 1000
     for kind, a, b in steps:
         world.now += MS
-        out = [rid for rid, owed in world.owed.items() if owed.out]
+        out = [rid for rid, request in world.open_requests.items() if request.out]
         if kind == "ask":
             cls = a % len(config.classes)
-            world.owed[next_id] = OpenRequest(cls, world.now + b * MS)
+            world.open_requests[next_id] = OpenRequest(cls, world.now + b * MS)
             key = next_id if config.classes[cls].effect == Effect.KEYED else 0
             tenant = next_id % 2 if config.tenants else 0
             world.give(api.Request(next_id, cls, tenant, key, world.now + b * MS, 0, bool(next_id % 3 == 0)))
@@ -210,18 +217,18 @@
             world.now += a * MS
         elif kind == "gone" and out:
             rid = out[a % len(out)]
-            owed = world.owed.pop(rid)
+            request = world.open_requests.pop(rid)
             world.give(api.Gone(rid))
-            assert owed.out is not None
-            world.give(api.Completed(rid, 0, owed.out, Outcome.CANCELLED, 0, True, ()))
+            assert request.out is not None
+            world.give(api.Completed(rid, 0, request.out, Outcome.CANCELLED, 0, True, ()))
         elif kind == "probed" and world.probes:
             world.probed(a, b)
         elif kind == "stream" and out:
             rid = out[a % len(out)]
-            owed = world.owed.pop(rid)
+            request = world.open_requests.pop(rid)
             world.give(api.StreamStarted(rid))
-            assert owed.out is not None
-            world.give(api.Completed(rid, 0, owed.out, Outcome.RESET, 0, True, ()))
+            assert request.out is not None
+            world.give(api.Completed(rid, 0, request.out, Outcome.RESET, 0, True, ()))
         elif kind == "stop":
             world.stop()
         elif kind == "tick":
@@ -236,9 +243,9 @@
             world.give(api.Timer(77))
         world.deliver_timers()
         world.expire()
-        held = [owed for owed in world.owed.values() if not owed.out]
+        held = [request for request in world.open_requests.values() if not request.out]
         assert not held or (config.probes and not config.peers), "held with nobody asked"
-        assert all(owed.attempts == 0 for owed in held)
+        assert all(request.attempts == 0 for request in held)
     return world
 
 
@@ -253,8 +260,8 @@
 def test_the_same_events_give_the_same_actions(config: api.Settings, steps: list[Any]) -> None:
     one, two = play(config, steps), play(config, steps)
     assert (
-        one.told == two.told
-        and one.owed == two.owed
+        one.health_since == two.health_since
+        and one.open_requests == two.open_requests
         and one.balancer.admission.cut == two.balancer.admission.cut
     )
     assert one.balancer.rand() == two.balancer.rand()
@@ -296,7 +303,7 @@
         config = settings(request_class(), request_class(effect=Effect.UNSAFE), cold_for=0, zones=2)
         steps: list[Any] = [("ask", i % 2, 2000) if i % 3 else ("answer", 0, outcome) for i in range(200)]
         world = play(config, [*steps, ("pass", 5000, 0)])
-        assert not world.owed and world.answered > 50
+        assert not world.open_requests and world.answered > 50
 
 
 def test_keyed_retry_stays_in_group_of_engine_at_send_time() -> None:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -510,9 +510,9 @@
 
 
 def test_body_memory_limit_allows_for_a_second_process() -> None:
-    told = config.parse(configuration(limits={"memory_mb": 80}))
+    parsed = config.parse(configuration(limits={"memory_mb": 80}))
     own = 15_000_000
-    assert 2 * (own + told.max_body_bytes(own)) < told.memory
+    assert 2 * (own + parsed.max_body_bytes(own)) < parsed.memory
     assert config.parse(configuration(limits={})).memory == config.MIN_MEMORY_MB * 1_000_000
 
 
@@ -669,8 +669,8 @@
 
     def __init__(self) -> None:
         self.loop, self.host, self.transport = FakeLoop(), FakeHost(), FakeTransport()
-        told = config.parse(configuration())
-        frontend = Frontend(told, cast(Any, self.host), cast(Any, self.loop))
+        parsed = config.parse(configuration())
+        frontend = Frontend(parsed, cast(Any, self.host), cast(Any, self.loop))
         self.connection = ClientConnection(frontend)
         self.connection.connection_made(cast(Any, self.transport))
 
