--- a/sprucenotch/node/host.py
+++ b/sprucenotch/node/host.py
@@ -112,7 +112,7 @@
         self.post(api.Retuned(config.settings))
 
     def drain(self) -> None:
-        """Start the drain: the process was told to stop and will be killed."""
+        """Start the drain: the process has been asked to stop and will be killed."""
         longest = max(cls.limit for cls in self._settings.classes)
         self._drain_deadline = self.now() + min(longest, MAX_DRAIN_DEADLINE) + DRAIN_KILL_GRACE - DRAIN_MARGIN
 
@@ -121,15 +121,15 @@
         expires_at = now + deadline - DEADLINE_MARGIN if deadline > DEADLINE_MARGIN else now
         return expires_at if self._drain_deadline is None else min(expires_at, self._drain_deadline)
 
-    def learn(self, told: HostList, kind: int) -> None:
+    def learn(self, host_list: HostList, kind: int) -> None:
         """Apply a host list of that `api.ListKind`."""
-        self.has_endpoints = self.has_endpoints or bool(told.hosts)
+        self.has_endpoints = self.has_endpoints or bool(host_list.hosts)
         if kind != api.ListKind.CACHED:
             self._list_received.set()
-        self.upstream.update_hosts(told.hosts, whole=kind != api.ListKind.DELTA)
+        self.upstream.update_hosts(host_list.hosts, whole=kind != api.ListKind.DELTA)
         self.telemetry.set_listed_engines(self.upstream)
-        self.on_host_list(told, kind)
-        self.post(api.EndpointList(kind, tuple(host.endpoint for host in told.hosts)))
+        self.on_host_list(host_list, kind)
+        self.post(api.EndpointList(kind, tuple(host.endpoint for host in host_list.hosts)))
 
     def recall(self, learned: api.Learned, age: int) -> None:
         """Continue from what the previous process had learned `age` nanoseconds ago."""
@@ -250,7 +250,7 @@
 
     def client_gone(self, rid: int) -> None:
         """Handle a client that left. An attempt whose request has been sent completely goes on: ending it
-        would only cost a connection. One that waits for a connection ends once that is up, so that others
+        would only cost a connection. One that waits for a connection ends once that is open, so that others
         can use it (`OpenRequest.may_send`); one that is partly sent ends at once, so that the server never
         runs it."""
         if (request := self._mark_answered(rid)) is not None:
--- a/sprucenotch/node/upstream.py
+++ b/sprucenotch/node/upstream.py
@@ -23,8 +23,8 @@
 
 # Nanoseconds for which a connection is not reused after an answer. A faulty engine may answer twice, the
 # second time 1 to 4 ms late. HTTP/1.1 answers carry no request id, so on a connection that is already reused
-# the second answer would be delivered to the client of the next request. The delay applies whatever the
-# duration of the answer: of 8,318 sends on kept connections, 370 came within this time of the previous
+# the second answer would be delivered to the client of the next request. The delay does not depend on
+# the duration of the answer: of 8,318 sends on kept connections, 370 came within this time of the previous
 # answer. An attempt waits at most once, for REUSE_DELAY_NS and MAX_TIMER_EARLY_S.
 REUSE_DELAY_NS = 6_000_000
 # Seconds by which a timer of the event loop may fire early. The loop counts whole milliseconds: it starts at
@@ -228,10 +228,10 @@
         else:
             connection.close()
 
-    async def connect(self, pool: Pool, failed: Callable[[OSError], None] = ignore_failure) -> Connection:
+    async def connect(self, pool: Pool, on_retry: Callable[[OSError], None] = ignore_failure) -> Connection:
         """Open a connection. It counts against the limit until it is lost, which may be before this returns.
 
-        A failure on this machine is reported to `failed` and retried. The connect timeout limits each try,
+        A failure on this machine is reported to `on_retry` and retried. The connect timeout limits each try,
         and also the time until the last one begins, so a connect may take up to twice as long. Raises
         OSError, which includes TimeoutError.
         """
@@ -257,7 +257,7 @@
             self._count("connect_failed_here")
             if shortage.count_failure(problem):
                 self.free_descriptor()
-            failed(problem)
+            on_retry(problem)
 
         self._open += 1
         self._count("handshakes")
